--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -99,8 +99,8 @@
 	defer stop()
 	taken := intake.New(intake.Options{
 		Store: h.Store, Replica: h.Replica, Configuration: h.Conditions.Configuration, Now: time.Now, Log: h.Log,
-		Metrics: h.Metrics, StoreLost: func() bool { return h.lostFor() > refuseAfter },
-		Leader: &intake.LeaderCopy{Replica: h.Replica, Peers: h.Peers, Host: h.Name, Log: h.Log},
+		Metrics: h.Metrics, StoreUnreachable: func() bool { return h.lostFor() > refuseAfter },
+		Leader: &intake.LeaderClient{Replica: h.Replica, Peers: h.Peers, Host: h.Name, Log: h.Log},
 	})
 	front := &http.Server{Handler: h.Front(taken), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	ready := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
--- a/batch/intake/intake.go
+++ b/batch/intake/intake.go
@@ -38,34 +38,34 @@
 
 // The kinds.
 const (
-	NotReady      Kind = "not-ready"      // no configuration yet, or the store can't be asked
-	NotFound      Kind = "not-found"      // no such queue
-	Unknown       Kind = "unknown-job"    // no such job
-	Unauthorised  Kind = "unauthorised"   // no organisation holds the key
-	Malformed     Kind = "malformed"      // the request can't be read or can't be meant
-	NotAccepted   Kind = "not-accepted"   // certainly not stored
-	OutcomeUnsure Kind = "outcome-unsure" // it may be stored; send it again
+	NotReady       Kind = "not-ready"      // no configuration yet, or the store can't be asked
+	NotFound       Kind = "not-found"      // no such queue
+	UnknownJob     Kind = "unknown-job"    // no such job
+	Unauthorised   Kind = "unauthorised"   // no organisation holds the key
+	Malformed      Kind = "malformed"      // the request can't be read or can't be meant
+	NotAccepted    Kind = "not-accepted"   // certainly not stored
+	OutcomeUnknown Kind = "outcome-unsure" // it may be stored; send it again
 )
 
-// Refusal says why a request isn't served.
-type Refusal struct {
+// RequestError says why a request isn't served.
+type RequestError struct {
 	Kind       Kind
 	Reason     string
 	RetryAfter time.Duration // 0: not told
 }
 
-func (r Refusal) Error() string { return string(r.Kind) + ": " + r.Reason }
+func (r RequestError) Error() string { return string(r.Kind) + ": " + r.Reason }
 
 // Options of an Intake.
 type Options struct {
-	Store         kvstore.Keyspace
-	Replica       *ledger.Replica
-	Configuration func() *batch.Configuration // in force; nil: none yet
-	StoreLost     func() bool                 // known to answer neither this host nor its peers; nil: never
-	Leader        *LeaderCopy                 // nil: only this host's copy is asked
-	Now           func() time.Time
-	Log           *log.Logger
-	Metrics       *metrics.Set // nil: nothing is counted
+	Store            kvstore.Keyspace
+	Replica          *ledger.Replica
+	Configuration    func() *batch.Configuration // in force; nil: none yet
+	StoreUnreachable func() bool                 // known to answer neither this host nor its peers; nil: never
+	Leader           *LeaderClient               // nil: only this host's copy is asked
+	Now              func() time.Time
+	Log              *log.Logger
+	Metrics          *metrics.Set // nil: nothing is counted
 }
 
 // Intake serves callers. It is safe for concurrent use.
@@ -86,15 +86,15 @@
 func (in *Intake) Resolve(host, path, key string) (Target, error) {
 	config := in.Configuration()
 	if config == nil {
-		return Target{}, Refusal{Kind: NotReady, Reason: "no configuration yet", RetryAfter: retryAfter}
+		return Target{}, RequestError{Kind: NotReady, Reason: "no configuration yet", RetryAfter: retryAfter}
 	}
 	queue, found := config.QueueFor(host, path)
 	if !found {
-		return Target{}, Refusal{Kind: NotFound, Reason: "no queue takes this host and path"}
+		return Target{}, RequestError{Kind: NotFound, Reason: "no queue takes this host and path"}
 	}
 	organisation, known := config.OrganisationFor(key)
 	if !known && !queue.Public {
-		return Target{}, Refusal{Kind: Unauthorised, Reason: "no organisation holds this key"}
+		return Target{}, RequestError{Kind: Unauthorised, Reason: "no organisation holds this key"}
 	}
 	return Target{
 		Queue:        queue,
@@ -116,7 +116,7 @@
 	in.complete(&job, target)
 	value, err := json.Marshal(job)
 	if err != nil {
-		return Refusal{Kind: Malformed, Reason: err.Error()}
+		return RequestError{Kind: Malformed, Reason: err.Error()}
 	}
 	key := ledger.JobKey(job.ID)
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: key}}, Puts: []kvstore.Put{{Key: key, Value: value}}}
@@ -137,7 +137,7 @@
 		return
 	}
 	kind := Kind("accepted")
-	var refusal Refusal
+	var refusal RequestError
 	if errors.As(err, &refusal) {
 		kind = refusal.Kind
 	}
@@ -169,7 +169,7 @@
 // check refuses what can't be meant.
 func check(job batch.Job) error {
 	malformed := func(format string, args ...any) error {
-		return Refusal{Kind: Malformed, Reason: fmt.Sprintf(format, args...)}
+		return RequestError{Kind: Malformed, Reason: fmt.Sprintf(format, args...)}
 	}
 	if len(job.Spec) > maxSpecBytes {
 		return malformed("spec has %d bytes; %d are the limit", len(job.Spec), maxSpecBytes)
@@ -202,9 +202,9 @@
 // commit applies a transaction that creates its first key. A key that exists
 // already is a success: an earlier try, or an earlier request.
 func (in *Intake) commit(ctx context.Context, txn kvstore.Txn, patience time.Duration) error {
-	if in.StoreLost != nil && in.StoreLost() {
+	if in.StoreUnreachable != nil && in.StoreUnreachable() {
 		// Nothing was sent, so the caller may try elsewhere without a doubt.
-		return Refusal{Kind: NotAccepted, Reason: "the store is away", RetryAfter: retryAfter}
+		return RequestError{Kind: NotAccepted, Reason: "the store is away", RetryAfter: retryAfter}
 	}
 	began := in.Now()
 	limit := began.Add(patience - answerMargin)
@@ -218,7 +218,7 @@
 			return nil
 		case errors.Is(err, kvstore.ErrUnavailable):
 			if !unsure && in.Now().Sub(began) > refuseAfter {
-				return Refusal{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
+				return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
 			}
 		default:
 			unsure = true
@@ -228,9 +228,9 @@
 		}
 	}
 	if unsure {
-		return Refusal{Kind: OutcomeUnsure, Reason: "the store did not answer; the job may be stored"}
+		return RequestError{Kind: OutcomeUnknown, Reason: "the store did not answer; the job may be stored"}
 	}
-	return Refusal{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
+	return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
 }
 
 func (in *Intake) commitOnce(ctx context.Context, txn kvstore.Txn) error {
@@ -271,10 +271,10 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, kvstore.ErrNotFound):
-		return Refusal{Kind: Unknown, Reason: "no job has this id"}
+		return RequestError{Kind: UnknownJob, Reason: "no job has this id"}
 	default:
 		in.Log.Warn("job can't be looked up", "job", id, "err", err)
-		return Refusal{Kind: NotReady, Reason: "the store can't be reached", RetryAfter: retryAfter}
+		return RequestError{Kind: NotReady, Reason: "the store can't be reached", RetryAfter: retryAfter}
 	}
 }
 
@@ -304,7 +304,7 @@
 // Pending returns how many jobs of a queue have not begun.
 func (in *Intake) Pending(ctx context.Context, target Target) (int, error) {
 	if !in.Replica.Loaded() {
-		return 0, Refusal{Kind: NotReady, Reason: "the list of jobs isn't loaded yet", RetryAfter: retryAfter}
+		return 0, RequestError{Kind: NotReady, Reason: "the list of jobs isn't loaded yet", RetryAfter: retryAfter}
 	}
 	if in.Leader != nil {
 		if n, ok := in.Leader.Pending(ctx, target.Queue.Name); ok {
--- a/batch/intake/intake_test.go
+++ b/batch/intake/intake_test.go
@@ -35,7 +35,7 @@
 }
 
 func kindOf(err error) intake.Kind {
-	var r intake.Refusal
+	var r intake.RequestError
 	if errors.As(err, &r) {
 		return r.Kind
 	}
@@ -74,7 +74,7 @@
 		{"served", []keyspace.Outcome{keyspace.Served}, "", 200 * time.Millisecond},
 		{"store away", []keyspace.Outcome{keyspace.Refused}, intake.NotAccepted, 500 * time.Millisecond},
 		{"answer lost, found again", []keyspace.Outcome{keyspace.Lost, keyspace.Served}, "", 500 * time.Millisecond},
-		{"answer lost, store away", []keyspace.Outcome{keyspace.Lost, keyspace.Refused}, intake.OutcomeUnsure, patience},
+		{"answer lost, store away", []keyspace.Outcome{keyspace.Lost, keyspace.Refused}, intake.OutcomeUnknown, patience},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			tries := 0
@@ -124,7 +124,7 @@
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 	must.NoError(t, err)
 	_, err = in.State(context.Background(), target, patience)
-	must.Eq(t, intake.Unknown, kindOf(err))
+	must.Eq(t, intake.UnknownJob, kindOf(err))
 	must.NoError(t, in.Submit(context.Background(), target, oneTask(), patience))
 	replica.Reset(nil)
 	state, err := in.State(context.Background(), target, patience)
@@ -143,7 +143,7 @@
 		}
 		return keyspace.Lost
 	})
-	in.StoreLost = func() bool { return true }
+	in.StoreUnreachable = func() bool { return true }
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 	must.NoError(t, err)
 	began := time.Now()
@@ -151,7 +151,7 @@
 	must.Less(t, 50*time.Millisecond, time.Since(began))
 	must.Eq(t, intake.NotAccepted, kindOf(err))
 	must.Eq(t, 0, writes)
-	var refusal intake.Refusal
+	var refusal intake.RequestError
 	must.True(t, errors.As(err, &refusal))
 	must.Positive(t, refusal.RetryAfter)
 }
--- a/batch/intake/leader.go
+++ b/batch/intake/leader.go
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// LeaderCopy asks the host that leads, whose copy follows the store without a
+// LeaderClient asks the host that leads, whose copy follows the store without a
 // pause, while the other hosts read changes in groups. It is safe for concurrent use.
-type LeaderCopy struct {
+type LeaderClient struct {
 	Replica *ledger.Replica
 	Peers   peer.Caller
 	Host    string // this one; it doesn't ask itself
@@ -67,7 +67,7 @@
 
 // State returns the state of a job as the leader has it; ok is false when it
 // can't be asked or doesn't know the job.
-func (l *LeaderCopy) State(ctx context.Context, id string) (state batch.State, ok bool) {
+func (l *LeaderClient) State(ctx context.Context, id string) (state batch.State, ok bool) {
 	var reply StateReply
 	if !l.ask(ctx, "Jobs.State", StateArgs{ID: id}, &reply) {
 		return "", false
@@ -77,14 +77,14 @@
 
 // Pending returns how many jobs of a queue have not begun, as the leader has
 // it; ok is false when it can't be asked.
-func (l *LeaderCopy) Pending(ctx context.Context, queue string) (n int, ok bool) {
+func (l *LeaderClient) Pending(ctx context.Context, queue string) (n int, ok bool) {
 	ok = l.ask(ctx, "Jobs.Pending", PendingArgs{Queue: queue}, &n)
 	return n, ok
 }
 
 // ask reports whether the leader answered. If not, this host's own copy has to
 // do; it is behind by a fraction of a second.
-func (l *LeaderCopy) ask(ctx context.Context, method string, args, reply any) bool {
+func (l *LeaderClient) ask(ctx context.Context, method string, args, reply any) bool {
 	address := l.address()
 	if address == "" || steady.Now().Before(l.restsUntil()) {
 		return false
@@ -99,7 +99,7 @@
 	return true
 }
 
-func (l *LeaderCopy) address() string {
+func (l *LeaderClient) address() string {
 	name := l.Replica.Leader().HostName()
 	if name == l.Host {
 		return ""
@@ -107,13 +107,13 @@
 	return l.Replica.Hosts()[name].Address
 }
 
-func (l *LeaderCopy) restsUntil() steady.Time {
+func (l *LeaderClient) restsUntil() steady.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.resting
 }
 
-func (l *LeaderCopy) rest(until steady.Time) {
+func (l *LeaderClient) rest(until steady.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resting = until
--- a/batch/intake/leader_test.go
+++ b/batch/intake/leader_test.go
@@ -63,7 +63,7 @@
 func askingIntake(t *testing.T, own batch.State, p *leaderPeer) *intake.Intake {
 	in, _ := newIntake(nil)
 	in.Replica = copyWith(t, own)
-	in.Leader = &intake.LeaderCopy{Replica: in.Replica, Peers: p, Host: "weak", Log: in.Log}
+	in.Leader = &intake.LeaderClient{Replica: in.Replica, Peers: p, Host: "weak", Log: in.Log}
 	return in
 }
 
