--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -61,22 +61,22 @@
 
 // Options of a Host.
 type Options struct {
-	Name         string
-	PeerAddress  string
-	FrontAddress string
-	ReadyAddress string
-	Grace        time.Duration // from the order to stop to being killed
-	Cores        float64       // of processor time; the strongest host leads by preference
-
-	Store      *kvstore.Fallback
-	Direct     kvstore.Keyspace // the store without the help of peers, for theirs
-	Peers      peer.Caller      // calls other hosts
-	Adviser    dispatch.Adviser // nil: there is none
-	Conditions Conditions
-	Replica    *ledger.Replica
-	Dispatch   func() dispatch.Options // asked at the start of each term
-	Front      func(*intake.Intake) http.Handler
-	Metrics    *metrics.Set
+	Name             string
+	PeerAddress      string
+	APIAddress       string
+	ReadinessAddress string
+	GracePeriod      time.Duration // from the order to stop to being killed
+	Cores            float64       // of processor time; the strongest host leads by preference
+
+	Store         *kvstore.Fallback
+	DirectStore   kvstore.Keyspace // the store without the help of peers, for theirs
+	Peers         peer.Caller      // calls other hosts
+	Adviser       dispatch.Adviser // nil: there is none
+	Conditions    Conditions
+	Replica       *ledger.Replica
+	Dispatch      func() dispatch.Options // asked at the start of each term
+	NewAPIHandler func(*intake.Intake) http.Handler
+	Metrics       *metrics.Set
 
 	MetricsAddress string // empty: metrics are not served
 	Log            *log.Logger
@@ -102,15 +102,15 @@
 		Metrics: h.Metrics, StoreUnreachable: func() bool { return h.lostFor() > refuseAfter },
 		Leader: &intake.LeaderClient{Replica: h.Replica, Peers: h.Peers, Host: h.Name, Log: h.Log},
 	})
-	front := &http.Server{Handler: h.Front(taken), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	front := &http.Server{Handler: h.NewAPIHandler(taken), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	ready := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
 	peers := peer.NewServer(peer.Options{Host: h.Name})
 	if err := h.registerPeerCalls(peers); err != nil {
 		return err
 	}
 	failed := make(chan error, 3)
-	if err := errors.CombineErrors(serve(h.FrontAddress, front.Serve, failed),
-		errors.CombineErrors(serve(h.ReadyAddress, ready.Serve, failed), serve(h.PeerAddress, peers.Serve, failed))); err != nil {
+	if err := errors.CombineErrors(serve(h.APIAddress, front.Serve, failed),
+		errors.CombineErrors(serve(h.ReadinessAddress, ready.Serve, failed), serve(h.PeerAddress, peers.Serve, failed))); err != nil {
 		return err
 	}
 	observed, err := h.serveMetrics(failed)
@@ -140,7 +140,7 @@
 
 // registerPeerCalls registers what other hosts may call here.
 func (h *Host) registerPeerCalls(s *peer.Server) error {
-	err := errors.CombineErrors(s.Register("Keyspace", &kvstore.KeyspaceService{Store: h.Direct}),
+	err := errors.CombineErrors(s.Register("Keyspace", &kvstore.KeyspaceService{Store: h.DirectStore}),
 		s.Register("Jobs", &intake.StateService{Replica: h.Replica}))
 	if h.Adviser != nil {
 		err = errors.CombineErrors(err, s.Register("Advice", &dispatch.AdviceService{Adviser: h.Adviser}))
@@ -180,12 +180,12 @@
 // drain lets another host lead, tells the balancer, serves on until it has
 // noticed, and finishes what was read.
 func (h *Host) drain(front *http.Server, resign func()) {
-	h.Log.Info("stopping", "grace", h.Grace)
+	h.Log.Info("stopping", "grace", h.GracePeriod)
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
 	resign()
-	limit, cancel := context.WithTimeout(context.Background(), h.Grace-drainMargin)
+	limit, cancel := context.WithTimeout(context.Background(), h.GracePeriod-drainMargin)
 	defer cancel()
 	pause.For(limit, drainNotice)
 	front.SetKeepAlivesEnabled(false)
@@ -342,9 +342,9 @@
 	}
 }
 
-// Anchored returns a time of day that follows the steady clock from a start, so
+// NewMonotonicClock returns a time of day that follows the steady clock from a start, so
 // that steps of the system's clock don't show.
-func Anchored() func() time.Time {
+func NewMonotonicClock() func() time.Time {
 	start, at := time.Now().Round(0), steady.Now()
 	return func() time.Time { return start.Add(steady.Now().Sub(at)) }
 }
--- a/cmd/cyclamentray-batchd/main.go
+++ b/cmd/cyclamentray-batchd/main.go
@@ -116,23 +116,23 @@
 	if s.Advice != "" {
 		adviser = platform.NewAdviser(s.Advice)
 	}
-	now := host.Anchored()
+	now := host.NewMonotonicClock()
 	return host.New(host.Options{
-		Name:         s.Host,
-		PeerAddress:  net.JoinHostPort(s.Address, strconv.Itoa(s.PeerPort)),
-		FrontAddress: s.FrontAddress,
-		ReadyAddress: s.ReadyAddress,
-		Grace:        s.Bounds.Grace,
-		Cores:        s.Cores,
-		Store:        store,
-		Direct:       direct,
-		Peers:        peers,
-		Adviser:      adviser,
-		Conditions:   followed,
-		Replica:      replica,
-		Front:        func(in *intake.Intake) http.Handler { return &platform.Front{Intake: in} },
-		Log:          logger,
-		Metrics:      set,
+		Name:             s.Host,
+		PeerAddress:      net.JoinHostPort(s.Address, strconv.Itoa(s.PeerPort)),
+		APIAddress:       s.FrontAddress,
+		ReadinessAddress: s.ReadyAddress,
+		GracePeriod:      s.Bounds.Grace,
+		Cores:            s.Cores,
+		Store:            store,
+		DirectStore:      direct,
+		Peers:            peers,
+		Adviser:          adviser,
+		Conditions:       followed,
+		Replica:          replica,
+		NewAPIHandler:    func(in *intake.Intake) http.Handler { return &platform.Front{Intake: in} },
+		Log:              logger,
+		Metrics:          set,
 		Dispatch: func() dispatch.Options {
 			bounds := watched.Current().Bounds
 			return dispatch.Options{
