--- a/cmd/cyclamentray-batchd/main.go
+++ b/cmd/cyclamentray-batchd/main.go
@@ -62,7 +62,7 @@
 		return exitUsage
 	}
 	if o.Settings == "" {
-		o.Settings = os.Getenv(platform.SettingsVariable)
+		o.Settings = os.Getenv(platform.SettingsEnvVar)
 	}
 	s, err := platform.LoadSettings(o.Settings)
 	if err != nil {
@@ -80,7 +80,7 @@
 		out.Close(limit.Done())
 	}()
 	logger := telemetry.NewStructuredLogger(out, o.LogLevel).With("host", s.Host)
-	watched := platform.Watch(o.Settings, s, logger)
+	watched := platform.NewSettingsWatcher(o.Settings, s, logger)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	go watched.Run(ctx, reload)
@@ -95,12 +95,12 @@
 	return 0
 }
 
-func newHost(watched *platform.Watched, logger *log.Logger, out *telemetry.AsyncWriter) *host.Host {
+func newHost(watched *platform.SettingsWatcher, logger *log.Logger, out *telemetry.AsyncWriter) *host.Host {
 	set := metrics.NewSet()
 	set.NewGauge("cyclamentray_log_lines_dropped", func() float64 { return float64(out.Dropped()) })
 	s := watched.Current()
 	replica := ledger.NewReplica(logger)
-	direct := platform.NewStore(s.Store)
+	direct := platform.NewStoreClient(s.StoreAddress)
 	peers := peer.NewPool(peer.Options{Host: s.Host})
 	others := host.PeerAddresses(replica, s.Host)
 	store := &kvstore.Fallback{
@@ -110,18 +110,18 @@
 		ProbeKey:  ledger.LeaderKey,
 		Metrics:   set,
 	}
-	followed := conditions.New(store, platform.Entries, s.Heartbeat, logger)
-	runners := platform.NewRunners()
+	followed := conditions.New(store, platform.EntryFormat, s.HeartbeatInterval, logger)
+	runners := platform.NewRunnerClient()
 	var adviser dispatch.Adviser
-	if s.Advice != "" {
-		adviser = platform.NewAdviser(s.Advice)
+	if s.AdviceAddress != "" {
+		adviser = platform.NewAdviceClient(s.AdviceAddress)
 	}
 	now := host.NewMonotonicClock()
 	return host.New(host.Options{
 		Name:             s.Host,
 		PeerAddress:      net.JoinHostPort(s.Address, strconv.Itoa(s.PeerPort)),
-		APIAddress:       s.FrontAddress,
-		ReadinessAddress: s.ReadyAddress,
+		APIAddress:       s.APIAddress,
+		ReadinessAddress: s.ReadinessAddress,
 		GracePeriod:      s.Bounds.Grace,
 		Cores:            s.Cores,
 		Store:            store,
@@ -130,7 +130,7 @@
 		Adviser:          adviser,
 		Conditions:       followed,
 		Replica:          replica,
-		NewAPIHandler:    func(in *intake.Intake) http.Handler { return &platform.Front{Intake: in} },
+		NewAPIHandler:    func(in *intake.Intake) http.Handler { return &platform.APIHandler{Intake: in} },
 		Log:              logger,
 		Metrics:          set,
 		Dispatch: func() dispatch.Options {
