--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -42,7 +42,7 @@
 	check   *Checker
 	store   *keyspace.Store
 	storeAt string
-	runners *standin.Runners
+	runners *standin.RunnerServer
 	hosts   []*hostProcess
 	fleet   []*fleetRunner
 
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	d.storeAt = address
-	d.runners = &standin.Runners{Pool: runner.New(runner.Options{
+	d.runners = &standin.RunnerServer{Pool: runner.New(runner.Options{
 		GangTimeout: 3 * time.Second, Describe: d.describe,
 		Started: func(now steady.Time, on string, task batch.TaskID, attempt int) {
 			check.Started(now, on, d.domainOf(on), task, attempt, d.specOf(task.Job))
@@ -174,7 +174,7 @@
 		return err
 	}
 	d.fleet = append(d.fleet, r)
-	d.runners.Do(func(now steady.Time, p *runner.Pool) { p.Add(now, d.told(r), []float64{1.6, 1, 0.6}[i%3]) })
+	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Add(now, d.told(r), []float64{1.6, 1, 0.6}[i%3]) })
 	return d.beat(r)
 }
 
@@ -189,8 +189,8 @@
 // beat writes a runner's entry, as the platform does for it.
 func (d *deployment) beat(r *fleetRunner) error {
 	told := d.told(r)
-	d.runners.Do(func(_ steady.Time, p *runner.Pool) { told.Born = p.Runner(r.id).Born })
-	entry, err := standin.RunnerEntry(told)
+	d.runners.WithPool(func(_ steady.Time, p *runner.Pool) { told.Born = p.Runner(r.id).Born })
+	entry, err := standin.EncodeRunner(told)
 	if err != nil {
 		return err
 	}
@@ -239,10 +239,10 @@
 		settings: filepath.Join(d.dir, fmt.Sprintf("host-%d.yaml", i)), logPath: filepath.Join(d.dir, fmt.Sprintf("host-%d.log", i)),
 	}
 	settings := standin.HostSettings{
-		Name: h.name, FailureDomain: fmt.Sprintf("fd-%d", i%domains), FrontAddress: h.front,
-		ReadyAddress: fmt.Sprintf("127.0.0.1:%d", ports[1]), PeerPort: ports[2], Store: proxy.Addr(), Heartbeat: heartbeat, Grace: graceTime,
+		Name: h.name, FailureDomain: fmt.Sprintf("fd-%d", i%domains), APIAddress: h.front,
+		ReadinessAddress: fmt.Sprintf("127.0.0.1:%d", ports[1]), PeerPort: ports[2], StoreAddress: proxy.Addr(), HeartbeatInterval: heartbeat, GracePeriod: graceTime,
 	}
-	if err := os.WriteFile(h.settings, []byte(settings.Text()), 0o600); err != nil {
+	if err := os.WriteFile(h.settings, []byte(settings.YAML()), 0o600); err != nil {
 		return err
 	}
 	d.hosts = append(d.hosts, h)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -37,7 +37,7 @@
 	{"runner leaves", onRunner(leave)},
 	{"runner hangs", onRunner(func(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
 		set := func(on bool) {
-			d.runners.Do(func(_ steady.Time, p *runner.Pool) { p.Runner(r.id).Hangs = on })
+			d.runners.WithPool(func(_ steady.Time, p *runner.Pool) { p.Runner(r.id).Hangs = on })
 		}
 		set(true)
 		return func() { set(false) }
@@ -109,7 +109,7 @@
 // crash ends a runner without a word; it comes back under its id.
 func crash(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
 	d.mark(r, true, false)
-	d.runners.Do(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
+	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
 	return func() { d.boot(r) }
 }
 
@@ -121,7 +121,7 @@
 		return nothing // it never leaves
 	}
 	return func() {
-		d.runners.Do(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
+		d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
 		d.mark(r, true, false)
 		d.remove(platform.RunnerPrefix + r.id)
 		d.boot(r)
@@ -136,7 +136,7 @@
 }
 
 func (d *deployment) boot(r *fleetRunner) {
-	d.runners.Do(func(now steady.Time, p *runner.Pool) { p.Reboot(now, r.id) })
+	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Reboot(now, r.id) })
 	d.check.Booted(r.id)
 	d.mark(r, false, false)
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -143,7 +143,7 @@
 			MaxAttempts: 9, Stretch: 3, TargetLatency: time.Second,
 		})
 	}
-	text, err := standin.ConfigurationText(config)
+	text, err := standin.EncodeConfiguration(config)
 	if err != nil {
 		r.opts.Log("configuration not written: " + err.Error())
 		return
@@ -200,7 +200,7 @@
 }
 
 func (r *run) jobBody(spec string, task runner.Task) string {
-	text, err := standin.JobText(spec, batch.Step{
+	text, err := standin.EncodeJob(spec, batch.Step{
 		Tasks: task.GangSize, Request: task.Request, Estimate: task.Work, Gang: task.GangSize > 1, Checkpoints: task.Checkpoint > 0,
 	})
 	if err != nil {
@@ -222,7 +222,7 @@
 		return 0, err.Error()
 	}
 	req.Host = hostName
-	req.Header.Set(standin.KeyHeader, organisationKey)
+	req.Header.Set(standin.APIKeyHeader, organisationKey)
 	resp, err := r.http.Do(req)
 	if err != nil {
 		return 0, err.Error()
