--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -1,4 +1,8 @@
-// Package host runs the batch scheduler's parts on one host.
+// Package host assembles and runs the batch scheduler on one host: the callers'
+// API, the readiness and metrics endpoints, the calls from other hosts, the
+// ledger replica and the candidacy for leadership. It holds the time at which
+// the store was lost and whether the host is stopping; all else is in the parts
+// it is given. Command cyclamentray-batchd calls it.
 package host
 
 import (
@@ -23,58 +27,63 @@
 )
 
 const (
-	// listingTTL is how long a dead host stays listed as a peer.
-	listingTTL   = 8 * time.Second
-	listingRenew = listingTTL / 4         // three renewals may be lost
-	listingRetry = 500 * time.Millisecond // peers are of use only once they are listed
-	listingCall  = time.Second            // three calls of a slow store
-
-	// replicaWait is short, so that a connection that has gone silent is replaced soon.
-	replicaWait  = time.Second
-	replicaPause = 250 * time.Millisecond // batches changes; counts may be 2 s old, and states are asked of the leader
-
-	// unreadyAfter is how long the store may be away, directly and through
-	// peers, before the host asks for no new connections.
-	unreadyAfter = 1500 * time.Millisecond
-
-	// refuseAfter is how long the store must have been away before callers are
-	// refused without a try: longer than a connection that was reset.
-	refuseAfter = 200 * time.Millisecond
-
-	// drainNotice is how long a host that stops goes on taking requests: the
-	// balancer notices after two looks a second apart.
-	drainNotice = 2300 * time.Millisecond
-
-	// drainMargin is left of the time to stop for ending by itself.
-	drainMargin = 700 * time.Millisecond
-
-	headerTimeout = 5 * time.Second  // longer than callers wait for an answer
-	idleTimeout   = 30 * time.Second // longer than callers pause between requests
+	// registrationTTL is how long a failed host stays registered as a peer.
+	registrationTTL           = 8 * time.Second
+	registrationRenewInterval = registrationTTL / 4    // up to three renewals may be lost
+	registrationRetryInterval = 500 * time.Millisecond // short, because hosts can only call peers that are registered
+	registrationTimeout       = time.Second            // three calls of a slow store
+
+	// replicaWatchWait is the longest wait of one watch. It is short, so that a
+	// connection on which the store no longer answers is replaced soon.
+	replicaWatchWait = time.Second
+
+	// replicaWatchPause lets changes accumulate into batches on hosts that do not
+	// lead. Counts may be 2 s old, and job states are requested from the leader.
+	replicaWatchPause = 250 * time.Millisecond
+
+	// unreadyAfterStoreLoss is how long the store may be unreachable, directly and
+	// through peers, before the host reports not ready and gets no new connections.
+	unreadyAfterStoreLoss = 1500 * time.Millisecond
+
+	// refuseAfterStoreLoss is how long the store must have been unreachable before
+	// requests are refused without a try: longer than the effect of a reset connection.
+	refuseAfterStoreLoss = 200 * time.Millisecond
+
+	// balancerNoticePeriod is how long a stopping host still accepts requests: the
+	// load balancer removes it after two readiness probes 1 s apart.
+	balancerNoticePeriod = 2300 * time.Millisecond
+
+	// shutdownMargin is the part of the grace period left for the process to exit
+	// before it is killed.
+	shutdownMargin = 700 * time.Millisecond
+
+	readHeaderTimeout = 5 * time.Second  // longer than callers wait for a response
+	idleTimeout       = 30 * time.Second // longer than callers pause between requests
 )
 
-// Conditions is what operators and runners say.
+// Conditions provides the operator's configuration and the runners' entries.
 type Conditions interface {
 	dispatch.Conditions
-	// FollowOperator keeps the operator's documents current until ctx ends.
+	// FollowOperator watches the operator's documents until ctx ends.
 	FollowOperator(ctx context.Context)
 }
 
-// Options of a Host.
+// Options configures a Host.
 type Options struct {
 	Name             string
 	PeerAddress      string
 	APIAddress       string
 	ReadinessAddress string
-	GracePeriod      time.Duration // from the order to stop to being killed
-	Cores            float64       // of processor time; the strongest host leads by preference
+	GracePeriod      time.Duration // from SIGTERM to SIGKILL
+	Cores            float64       // CPU time available; the host with the most is preferred as leader
 
 	Store         *kvstore.Fallback
-	DirectStore   kvstore.Keyspace // the store without the help of peers, for theirs
+	DirectStore   kvstore.Keyspace // the store without fallback to peers; used for calls on behalf of peers
 	Peers         peer.Caller      // calls other hosts
-	Adviser       dispatch.Adviser // nil: there is none
+	Adviser       dispatch.Adviser // nil: no advice service
 	Conditions    Conditions
 	Replica       *ledger.Replica
-	Dispatch      func() dispatch.Options // asked at the start of each term
+	Dispatch      func() dispatch.Options // called at the start of each term
 	NewAPIHandler func(*intake.Intake) http.Handler
 	Metrics       *metrics.Set
 
@@ -82,50 +91,50 @@
 	Log            *log.Logger
 }
 
-// Host is one host's process.
+// Host runs the batch scheduler in one host's process.
 type Host struct {
 	Options
-	mu       sync.Mutex
-	lostAt   steady.Time // when the store was lost; 0: it is not
-	stopping bool
+	mu          sync.Mutex
+	storeLostAt steady.Time // 0: the store is reachable
+	stopping    bool
 }
 
-// New returns a Host.
+// New returns a Host with the given options. Run starts it.
 func New(o Options) *Host { return &Host{Options: o} }
 
-// Run serves until ctx ends, and then drains.
+// Run serves requests until ctx ends or a listener fails, then drains.
 func (h *Host) Run(ctx context.Context) error {
-	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	taken := intake.New(intake.Options{
+	jobs := intake.New(intake.Options{
 		Store: h.Store, Replica: h.Replica, Configuration: h.Conditions.Configuration, Now: time.Now, Log: h.Log,
-		Metrics: h.Metrics, StoreUnreachable: func() bool { return h.lostFor() > refuseAfter },
+		Metrics: h.Metrics, StoreUnreachable: func() bool { return h.storeLostFor() > refuseAfterStoreLoss },
 		Leader: &intake.LeaderClient{Replica: h.Replica, Peers: h.Peers, Host: h.Name, Log: h.Log},
 	})
-	front := &http.Server{Handler: h.NewAPIHandler(taken), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	ready := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: headerTimeout}
+	front := &http.Server{Handler: h.NewAPIHandler(jobs), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
+	ready := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: readHeaderTimeout}
 	peers := peer.NewServer(peer.Options{Host: h.Name})
 	if err := h.registerPeerCalls(peers); err != nil {
 		return err
 	}
 	failed := make(chan error, 3)
-	if err := errors.CombineErrors(serve(h.APIAddress, front.Serve, failed),
-		errors.CombineErrors(serve(h.ReadinessAddress, ready.Serve, failed), serve(h.PeerAddress, peers.Serve, failed))); err != nil {
+	if err := errors.CombineErrors(listenAndServe(h.APIAddress, front.Serve, failed),
+		errors.CombineErrors(listenAndServe(h.ReadinessAddress, ready.Serve, failed), listenAndServe(h.PeerAddress, peers.Serve, failed))); err != nil {
 		return err
 	}
-	observed, err := h.serveMetrics(failed)
+	metricsServer, err := h.serveMetrics(failed)
 	if err != nil {
 		return err
 	}
-	defer observed.Close()
+	defer metricsServer.Close()
 	h.Log.Info("started")
-	var parts sync.WaitGroup
-	parts.Go(func() { h.Conditions.FollowOperator(serving) })
-	parts.Go(func() { h.followReplica(serving) })
-	parts.Go(func() { h.keepListed(serving) })
-	leading, resign := context.WithCancel(serving)
+	var background sync.WaitGroup
+	background.Go(func() { h.Conditions.FollowOperator(serveCtx) })
+	background.Go(func() { h.followReplica(serveCtx) })
+	background.Go(func() { h.maintainRegistration(serveCtx) })
+	electionCtx, resign := context.WithCancel(serveCtx)
 	defer resign()
-	parts.Go(func() { h.candidate().Run(leading) })
+	background.Go(func() { h.candidate().Run(electionCtx) })
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
@@ -133,12 +142,12 @@
 	h.drain(front, resign)
 	stop()
 	err = errors.CombineErrors(err, errors.CombineErrors(ready.Close(), peers.Close()))
-	parts.Wait()
+	background.Wait()
 	h.Log.Info("stopped")
 	return err
 }
 
-// registerPeerCalls registers what other hosts may call here.
+// registerPeerCalls registers the services that other hosts may call.
 func (h *Host) registerPeerCalls(s *peer.Server) error {
 	err := errors.CombineErrors(s.Register("Keyspace", &kvstore.KeyspaceService{Store: h.DirectStore}),
 		s.Register("Jobs", &intake.StateService{Replica: h.Replica}))
@@ -148,7 +157,9 @@
 	return err
 }
 
-func serve(address string, run func(net.Listener) error, failed chan<- error) error {
+// listenAndServe listens on address and serves in the background. A later
+// failure is sent to failed.
+func listenAndServe(address string, run func(net.Listener) error, failed chan<- error) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrapf(err, "listening on %s", address)
@@ -161,7 +172,7 @@
 	return nil
 }
 
-// metricsPath is where the metrics address serves them, as text.
+// metricsPath is the path of the metrics, in the Prometheus text format.
 const metricsPath = "/metrics"
 
 func (h *Host) serveMetrics(failed chan<- error) (*http.Server, error) {
@@ -170,27 +181,27 @@
 		h.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	if h.MetricsAddress == "" {
 		return server, nil
 	}
-	return server, serve(h.MetricsAddress, server.Serve, failed)
+	return server, listenAndServe(h.MetricsAddress, server.Serve, failed)
 }
 
-// drain lets another host lead, tells the balancer, serves on until it has
-// noticed, and finishes what was read.
+// drain resigns the candidacy, reports the host as not ready, serves on until
+// the load balancer has noticed, and waits for requests in progress.
 func (h *Host) drain(front *http.Server, resign func()) {
 	h.Log.Info("stopping", "grace", h.GracePeriod)
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
 	resign()
-	limit, cancel := context.WithTimeout(context.Background(), h.GracePeriod-drainMargin)
+	limit, cancel := context.WithTimeout(context.Background(), h.GracePeriod-shutdownMargin)
 	defer cancel()
-	pause.For(limit, drainNotice)
+	pause.For(limit, balancerNoticePeriod)
 	front.SetKeepAlivesEnabled(false)
 	if err := front.Shutdown(limit); err != nil {
-		h.Log.Warn("requests cut off at the end of the grace time", "err", err)
+		h.Log.Warn("requests aborted at the end of the grace period", "err", err)
 	}
 }
 
@@ -204,7 +215,7 @@
 	if h.Conditions.Configuration() == nil || !h.Replica.Loaded() {
 		return false
 	}
-	if h.lostFor() >= unreadyAfter {
+	if h.storeLostFor() >= unreadyAfterStoreLoss {
 		return false
 	}
 	h.mu.Lock()
@@ -212,48 +223,49 @@
 	return !h.stopping
 }
 
-// lostFor returns how long the store has been away; 0: it is not.
-func (h *Host) lostFor() time.Duration {
+// storeLostFor returns how long the store has been unreachable, or 0 if it is reachable.
+func (h *Host) storeLostFor() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lostAt.IsZero() {
+	if h.storeLostAt.IsZero() {
 		return 0
 	}
-	return steady.Now().Sub(h.lostAt)
+	return steady.Now().Sub(h.storeLostAt)
 }
 
 func (h *Host) followReplica(ctx context.Context) {
 	f := kvstore.Follower{
 		Store:  h.Store,
 		Prefix: ledger.Prefix,
-		Wait:   replicaWait,
-		Pause:  h.pause,
+		Wait:   replicaWatchWait,
+		Pause:  h.watchPause,
 		Reset:  h.Replica.Reset,
 		Apply:  h.Replica.Apply,
 		Lost: func(err error) {
-			h.setLost(steady.Now())
+			h.setStoreLost(steady.Now())
 			h.Log.Warn("store lost", "prefix", ledger.Prefix, "err", err)
 		},
 		Regained: func() {
-			h.setLost(0)
+			h.setStoreLost(0)
 			h.Log.Info("store regained", "prefix", ledger.Prefix)
 		},
 	}
 	f.Run(ctx)
 }
 
-// pause lies between two watches: the leader learns of a job at once.
-func (h *Host) pause() time.Duration {
+// watchPause returns the pause between two watches of the replica. It is 0 on
+// the leader, so that it receives new jobs at once.
+func (h *Host) watchPause() time.Duration {
 	if h.Replica.Leader().HostName() == h.Name {
 		return 0
 	}
-	return replicaPause
+	return replicaWatchPause
 }
 
-func (h *Host) setLost(at steady.Time) {
+func (h *Host) setStoreLost(at steady.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lostAt = at
+	h.storeLostAt = at
 }
 
 func (h *Host) candidate() *dispatch.Candidate {
@@ -262,22 +274,23 @@
 		Replica: h.Replica,
 		Host:    h.Name,
 		Log:     h.Log,
-		Delay:   h.handicap,
+		Delay:   h.electionDelay,
 		Lead:    func(ctx context.Context, t *dispatch.Term) { dispatch.Lead(ctx, h.Dispatch(), t) },
 	}
 }
 
-// handicapMost is how much later than the strongest the weakest host seeks the
-// term: less than what its slower takeover would cost.
-const handicapMost = 700 * time.Millisecond
+// maxElectionDelay is the election delay of the weakest host relative to the
+// strongest: shorter than the extra time that a takeover by it would need.
+const maxElectionDelay = 700 * time.Millisecond
 
-// handicap returns how much later than the strongest host this one seeks the
-// term. Before others are listed, a host with a whole core is expected.
-func (h *Host) handicap() time.Duration {
+// electionDelay returns how much later than the strongest host this one tries to
+// acquire the term. Until other hosts are registered, the strongest is assumed
+// to have one whole core.
+func (h *Host) electionDelay() time.Duration {
 	strongest := 0.0
 	hosts := h.Replica.Hosts()
-	for _, listed := range hosts {
-		strongest = max(strongest, listed.Cores)
+	for _, registered := range hosts {
+		strongest = max(strongest, registered.Cores)
 	}
 	if len(hosts) < 2 {
 		strongest = 1
@@ -285,25 +298,26 @@
 	if h.Cores <= 0 || strongest <= h.Cores {
 		return 0
 	}
-	return time.Duration((1 - h.Cores/strongest) * float64(handicapMost))
+	return time.Duration((1 - h.Cores/strongest) * float64(maxElectionDelay))
 }
 
-// keepListed keeps this host's address in the store, so that peers that can't
-// reach the store find a host that may.
-func (h *Host) keepListed(ctx context.Context) {
+// maintainRegistration keeps this host's address in the store until ctx ends, so
+// that hosts that can't reach the store find a peer that can.
+func (h *Host) maintainRegistration(ctx context.Context) {
 	var lease uint64
 	for ctx.Err() == nil {
-		wait := listingRenew
-		if err := h.list(ctx, &lease); err != nil {
-			h.Log.Debug("host not listed", "err", err)
-			wait = listingRetry
+		wait := registrationRenewInterval
+		if err := h.register(ctx, &lease); err != nil {
+			h.Log.Debug("peer registration failed", "err", err)
+			wait = registrationRetryInterval
 		}
 		pause.For(ctx, wait)
 	}
 }
 
-func (h *Host) list(ctx context.Context, lease *uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, listingCall)
+// register renews this host's registration, or creates it if there is no lease.
+func (h *Host) register(ctx context.Context, lease *uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
 	if *lease != 0 {
 		err := h.Store.Renew(ctx, *lease)
@@ -316,7 +330,7 @@
 	if err != nil {
 		return err
 	}
-	grant, err := h.Store.Grant(ctx, listingTTL)
+	grant, err := h.Store.Grant(ctx, registrationTTL)
 	if err != nil {
 		return err
 	}
@@ -329,21 +343,23 @@
 	return err
 }
 
-// PeerAddresses returns where the other listed hosts take calls.
+// PeerAddresses returns a function that lists the addresses of the registered
+// hosts other than self.
 func PeerAddresses(replica *ledger.Replica, self string) func() []string {
 	return func() []string {
 		var out []string
-		for name, listed := range replica.Hosts() {
+		for name, registered := range replica.Hosts() {
 			if name != self {
-				out = append(out, listed.Address)
+				out = append(out, registered.Address)
 			}
 		}
 		return out
 	}
 }
 
-// NewMonotonicClock returns a time of day that follows the steady clock from a start, so
-// that steps of the system's clock don't show.
+// NewMonotonicClock returns a function for the time of day that starts at the
+// system clock and advances with the steady clock, so that later steps of the
+// system clock have no effect.
 func NewMonotonicClock() func() time.Time {
 	start, at := time.Now().Round(0), steady.Now()
 	return func() time.Time { return start.Add(steady.Now().Sub(at)) }
--- a/batch/intake/intake.go
+++ b/batch/intake/intake.go
@@ -1,5 +1,9 @@
-// Package intake takes callers' requests about batch jobs: it accepts a job
-// once it is stored, and tells and ends it.
+// Package intake serves callers' requests about batch jobs: submission,
+// cancellation, and queries for a job's state and a queue's pending jobs. A job
+// is accepted once it is stored. Jobs are kept in the store; this package reads
+// them from the host's ledger replica and keeps only the time before which an
+// unresponsive leader is not called again. The platform's HTTP handler calls it,
+// and other hosts call StateService.
 package intake
 
 import (
@@ -19,74 +23,76 @@
 )
 
 const (
-	callTimeout  = 900 * time.Millisecond // one call of the store; it answers in 4 ms, in 350 ms when slow
-	retryPause   = 40 * time.Millisecond  // before a call that had no clear outcome is made again
-	readTimeout  = time.Second            // the same, once through a peer
-	refuseAfter  = 250 * time.Millisecond // of a store that certainly did nothing, before the caller is told
-	retryAfter   = time.Second            // how long an outage's next look takes
-	answerMargin = 150 * time.Millisecond // kept of the caller's patience for the answer's way
+	storeCallTimeout      = 900 * time.Millisecond // one store call; the store answers in 4 ms, in 350 ms when slow
+	commitRetryInterval   = 40 * time.Millisecond  // between tries of a commit that the store did not answer
+	storeReadTimeout      = time.Second            // one store read, including one try through a peer
+	unavailableRetryLimit = 250 * time.Millisecond // a commit that certainly had no effect is retried this long before it is refused
+	defaultRetryAfter     = time.Second            // an unavailable store has been probed again by then
+	responseMargin        = 150 * time.Millisecond // part of the caller's timeout left for sending the response
 
-	// Limits of one job; larger ones can't be kept in one record.
+	// Limits of one job; a larger one does not fit in one store record.
 	maxSteps       = 200
 	maxTasks       = 10_000
 	maxOccurrences = 2_000
 	maxSpecBytes   = 4_000
 )
 
-// Kind is a reason for which a request isn't served.
+// Kind classifies why a request failed.
 type Kind string
 
-// The kinds.
+// Kinds of request errors.
 const (
-	NotReady       Kind = "not-ready"      // no configuration yet, or the store can't be asked
+	NotReady       Kind = "not-ready"      // no configuration loaded yet, or the store is unavailable
 	NotFound       Kind = "not-found"      // no such queue
 	UnknownJob     Kind = "unknown-job"    // no such job
-	Unauthorised   Kind = "unauthorised"   // no organisation holds the key
-	Malformed      Kind = "malformed"      // the request can't be read or can't be meant
+	Unauthorised   Kind = "unauthorised"   // the API key belongs to no organisation
+	Malformed      Kind = "malformed"      // the request can't be decoded or is invalid
 	NotAccepted    Kind = "not-accepted"   // certainly not stored
-	OutcomeUnknown Kind = "outcome-unsure" // it may be stored; send it again
+	OutcomeUnknown Kind = "outcome-unsure" // may be stored; the caller should send the request again
 )
 
-// RequestError says why a request isn't served.
+// RequestError is the error of a failed request, with the reason shown to the caller.
 type RequestError struct {
 	Kind       Kind
 	Reason     string
-	RetryAfter time.Duration // 0: not told
+	RetryAfter time.Duration // 0: none is sent
 }
 
 func (r RequestError) Error() string { return string(r.Kind) + ": " + r.Reason }
 
-// Options of an Intake.
+// Options configures an Intake.
 type Options struct {
 	Store            kvstore.Keyspace
 	Replica          *ledger.Replica
 	Configuration    func() *batch.Configuration // in force; nil: none yet
-	StoreUnreachable func() bool                 // known to answer neither this host nor its peers; nil: never
-	Leader           *LeaderClient               // nil: only this host's copy is asked
+	StoreUnreachable func() bool                 // whether the store is known to answer neither this host nor its peers; nil: never
+	Leader           *LeaderClient               // nil: only this host's replica is used
 	Now              func() time.Time
 	Log              *log.Logger
-	Metrics          *metrics.Set // nil: nothing is counted
+	Metrics          *metrics.Set // nil: no metrics
 }
 
-// Intake serves callers. It is safe for concurrent use.
+// Intake serves callers' requests. It is safe for concurrent use.
 type Intake struct{ Options }
 
-// New returns an Intake.
+// New returns an Intake with the given options.
 func New(o Options) *Intake { return &Intake{Options: o} }
 
-// Target is what a request is about.
+// Target is the queue or job that a request addresses, and the organisation
+// that makes the request.
 type Target struct {
 	Queue        batch.Queue
 	Organisation string
-	JobID        string // empty: the queue itself
+	JobID        string // empty: the request addresses the queue itself
 	MaxBodyBytes int64
 }
 
-// Resolve finds the queue of a request and the organisation that makes it.
+// Resolve returns the target for a request's host name and path, with the
+// organisation that holds the API key.
 func (in *Intake) Resolve(host, path, key string) (Target, error) {
 	config := in.Configuration()
 	if config == nil {
-		return Target{}, RequestError{Kind: NotReady, Reason: "no configuration yet", RetryAfter: retryAfter}
+		return Target{}, RequestError{Kind: NotReady, Reason: "no configuration yet", RetryAfter: defaultRetryAfter}
 	}
 	queue, found := config.QueueFor(host, path)
 	if !found {
@@ -94,7 +100,7 @@
 	}
 	organisation, known := config.OrganisationFor(key)
 	if !known && !queue.Public {
-		return Target{}, RequestError{Kind: Unauthorised, Reason: "no organisation holds this key"}
+		return Target{}, RequestError{Kind: Unauthorised, Reason: "the API key belongs to no organisation"}
 	}
 	return Target{
 		Queue:        queue,
@@ -104,16 +110,16 @@
 	}, nil
 }
 
-// Submit stores a job. It returns nil once it is stored, also by an earlier
-// request with the same id.
-func (in *Intake) Submit(ctx context.Context, target Target, job batch.Job, patience time.Duration) error {
-	if err := check(job); err != nil {
+// Submit stores a job. It returns nil once the job is stored, including when an
+// earlier request with the same id stored it.
+func (in *Intake) Submit(ctx context.Context, target Target, job batch.Job, timeout time.Duration) error {
+	if err := validate(job); err != nil {
 		return err
 	}
 	if _, known := in.Replica.Job(target.JobID); known {
 		return nil
 	}
-	in.complete(&job, target)
+	in.fillFromTarget(&job, target)
 	value, err := json.Marshal(job)
 	if err != nil {
 		return RequestError{Kind: Malformed, Reason: err.Error()}
@@ -121,38 +127,38 @@
 	key := ledger.JobKey(job.ID)
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: key}}, Puts: []kvstore.Put{{Key: key, Value: value}}}
 	began := in.Now()
-	err = in.commit(ctx, txn, patience)
-	in.count("submit", err, in.Now().Sub(began))
+	err = in.commit(ctx, txn, timeout)
+	in.recordCall("submit", err, in.Now().Sub(began))
 	in.Log.Info("submit", "job", job.ID, "organisation", job.Organisation, "queue", job.Queue,
-		"priority", job.Priority, "took", in.Now().Sub(began), "outcome", outcome(err))
+		"priority", job.Priority, "took", in.Now().Sub(began), "outcome", outcomeText(err))
 	if err == nil {
 		in.Replica.Accept(&job)
 	}
 	return err
 }
 
-// count notes how a call ended and how long it took.
-func (in *Intake) count(call string, err error, took time.Duration) {
+// recordCall updates the metrics for one call.
+func (in *Intake) recordCall(call string, err error, took time.Duration) {
 	if in.Metrics == nil {
 		return
 	}
 	kind := Kind("accepted")
-	var refusal RequestError
-	if errors.As(err, &refusal) {
-		kind = refusal.Kind
+	var reqErr RequestError
+	if errors.As(err, &reqErr) {
+		kind = reqErr.Kind
 	}
 	name := fmt.Sprintf(`cyclamentray_batch_call_seconds{call=%q,outcome=%q}`, call, kind)
 	in.Metrics.GetOrCreateHistogram(name).Update(took.Seconds())
 }
 
-func outcome(err error) string {
+func outcomeText(err error) string {
 	if err == nil {
 		return "accepted"
 	}
 	return err.Error()
 }
 
-func (in *Intake) complete(job *batch.Job, target Target) {
+func (in *Intake) fillFromTarget(job *batch.Job, target Target) {
 	q := target.Queue
 	job.ID = target.JobID
 	job.Queue = q.Name
@@ -166,19 +172,19 @@
 	job.Accepted = in.Now()
 }
 
-// check refuses what can't be meant.
-func check(job batch.Job) error {
+// validate returns a Malformed error for a job that is invalid or exceeds a limit.
+func validate(job batch.Job) error {
 	malformed := func(format string, args ...any) error {
 		return RequestError{Kind: Malformed, Reason: fmt.Sprintf(format, args...)}
 	}
 	if len(job.Spec) > maxSpecBytes {
-		return malformed("spec has %d bytes; %d are the limit", len(job.Spec), maxSpecBytes)
+		return malformed("spec has %d bytes; the limit is %d", len(job.Spec), maxSpecBytes)
 	}
 	if len(job.Steps) == 0 || len(job.Steps) > maxSteps {
-		return malformed("%d steps; 1 to %d are taken", len(job.Steps), maxSteps)
+		return malformed("job has %d steps; it must have 1 to %d", len(job.Steps), maxSteps)
 	}
 	if s := job.Schedule; s != nil && (s.Occurrences > maxOccurrences || s.Interval < 0) {
-		return malformed("%d occurrences every %s; %d are the limit", s.Occurrences, s.Interval, maxOccurrences)
+		return malformed("schedule has %d occurrences at an interval of %s; the limit is %d occurrences and the interval must not be negative", s.Occurrences, s.Interval, maxOccurrences)
 	}
 	tasks := 0
 	for i, step := range job.Steps {
@@ -188,83 +194,86 @@
 		}
 		for _, before := range step.After {
 			if before < 0 || before >= i {
-				return malformed("step %d comes after step %d, which is no earlier step", i, before)
+				return malformed("step %d depends on step %d, which is not an earlier step", i, before)
 			}
 		}
 		tasks += step.Tasks
 	}
 	if tasks*job.Occurrences() > maxTasks {
-		return malformed("%d tasks; %d are the limit", tasks*job.Occurrences(), maxTasks)
+		return malformed("job has %d tasks in all; the limit is %d", tasks*job.Occurrences(), maxTasks)
 	}
 	return nil
 }
 
-// commit applies a transaction that creates its first key. A key that exists
-// already is a success: an earlier try, or an earlier request.
-func (in *Intake) commit(ctx context.Context, txn kvstore.Txn, patience time.Duration) error {
+// commit applies a transaction that creates its first key, and retries it until
+// the timeout. If the key already exists, an earlier try or an earlier request
+// has created it, so commit returns nil.
+func (in *Intake) commit(ctx context.Context, txn kvstore.Txn, timeout time.Duration) error {
 	if in.StoreUnreachable != nil && in.StoreUnreachable() {
-		// Nothing was sent, so the caller may try elsewhere without a doubt.
-		return RequestError{Kind: NotAccepted, Reason: "the store is away", RetryAfter: retryAfter}
+		// Nothing was sent, so the caller can safely try another host.
+		return RequestError{Kind: NotAccepted, Reason: "the store is unavailable", RetryAfter: defaultRetryAfter}
 	}
 	began := in.Now()
-	limit := began.Add(patience - answerMargin)
-	ctx, cancel := context.WithDeadline(ctx, limit)
+	deadline := began.Add(timeout - responseMargin)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	unsure := false
+	ambiguous := false
 	for {
 		err := in.commitOnce(ctx, txn)
 		switch {
 		case err == nil, errors.Is(err, kvstore.ErrConflict):
 			return nil
 		case errors.Is(err, kvstore.ErrUnavailable):
-			if !unsure && in.Now().Sub(began) > refuseAfter {
-				return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
+			if !ambiguous && in.Now().Sub(began) > unavailableRetryLimit {
+				return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: defaultRetryAfter}
 			}
 		default:
-			unsure = true
+			ambiguous = true
 		}
-		if !pause.For(ctx, retryPause) {
+		if !pause.For(ctx, commitRetryInterval) {
 			break
 		}
 	}
-	if unsure {
+	if ambiguous {
 		return RequestError{Kind: OutcomeUnknown, Reason: "the store did not answer; the job may be stored"}
 	}
-	return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: retryAfter}
+	return RequestError{Kind: NotAccepted, Reason: "the store can't be reached", RetryAfter: defaultRetryAfter}
 }
 
 func (in *Intake) commitOnce(ctx context.Context, txn kvstore.Txn) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	_, err := in.Store.Commit(ctx, txn)
 	return err
 }
 
 // State returns the state of a job.
-func (in *Intake) State(ctx context.Context, target Target, patience time.Duration) (batch.State, error) {
+func (in *Intake) State(ctx context.Context, target Target, timeout time.Duration) (batch.State, error) {
 	if entry, known := in.Replica.Job(target.JobID); known {
-		return in.latest(ctx, target.JobID, entry.State()), nil
+		return in.latestState(ctx, target.JobID, entry.State()), nil
 	}
-	if err := in.stored(ctx, target.JobID, patience); err != nil {
+	if err := in.checkStored(ctx, target.JobID, timeout); err != nil {
 		return "", err
 	}
 	return batch.Queued, nil
 }
 
-// latest returns the later of this host's state of a job and the leader's.
-func (in *Intake) latest(ctx context.Context, id string, own batch.State) batch.State {
-	if own.Final() || in.Leader == nil {
-		return own
+// latestState returns the later of a job's state in this host's replica and in
+// the leader's.
+func (in *Intake) latestState(ctx context.Context, id string, local batch.State) batch.State {
+	if local.Final() || in.Leader == nil {
+		return local
 	}
 	if state, known := in.Leader.State(ctx, id); known && state != batch.Queued {
 		return state
 	}
-	return own
+	return local
 }
 
-// stored asks the store itself for a job that the copy doesn't have.
-func (in *Intake) stored(ctx context.Context, id string, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, min(readTimeout, patience-answerMargin))
+// checkStored reads a job that the replica lacks from the store. It returns nil
+// if the store has the job.
+func (in *Intake) checkStored(ctx context.Context, id string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, min(storeReadTimeout, timeout-responseMargin))
 	defer cancel()
 	_, err := in.Store.Get(ctx, ledger.JobKey(id))
 	switch {
@@ -273,16 +282,17 @@
 	case errors.Is(err, kvstore.ErrNotFound):
 		return RequestError{Kind: UnknownJob, Reason: "no job has this id"}
 	default:
-		in.Log.Warn("job can't be looked up", "job", id, "err", err)
-		return RequestError{Kind: NotReady, Reason: "the store can't be reached", RetryAfter: retryAfter}
+		in.Log.Warn("reading a job from the store failed", "job", id, "err", err)
+		return RequestError{Kind: NotReady, Reason: "the store can't be reached", RetryAfter: defaultRetryAfter}
 	}
 }
 
-// Cancel ends a job. It returns nil once that is stored.
-func (in *Intake) Cancel(ctx context.Context, target Target, patience time.Duration) error {
+// Cancel cancels a job. It returns nil once the cancellation is stored or if the
+// job has already ended.
+func (in *Intake) Cancel(ctx context.Context, target Target, timeout time.Duration) error {
 	entry, known := in.Replica.Job(target.JobID)
 	if !known {
-		if err := in.stored(ctx, target.JobID, patience); err != nil {
+		if err := in.checkStored(ctx, target.JobID, timeout); err != nil {
 			return err
 		}
 	}
@@ -292,19 +302,19 @@
 	began := in.Now()
 	key := ledger.CancelKey(target.JobID)
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: key}}, Puts: []kvstore.Put{{Key: key, Value: []byte("1")}}}
-	err := in.commit(ctx, txn, patience)
-	in.count("cancel", err, in.Now().Sub(began))
-	in.Log.Info("cancel", "job", target.JobID, "organisation", target.Organisation, "outcome", outcome(err))
+	err := in.commit(ctx, txn, timeout)
+	in.recordCall("cancel", err, in.Now().Sub(began))
+	in.Log.Info("cancel", "job", target.JobID, "organisation", target.Organisation, "outcome", outcomeText(err))
 	if err == nil {
 		in.Replica.Cancel(target.JobID)
 	}
 	return err
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns the number of a queue's jobs that have not started.
 func (in *Intake) Pending(ctx context.Context, target Target) (int, error) {
 	if !in.Replica.Loaded() {
-		return 0, RequestError{Kind: NotReady, Reason: "the list of jobs isn't loaded yet", RetryAfter: retryAfter}
+		return 0, RequestError{Kind: NotReady, Reason: "the job records are not loaded yet", RetryAfter: defaultRetryAfter}
 	}
 	if in.Leader != nil {
 		if n, ok := in.Leader.Pending(ctx, target.Queue.Name); ok {
--- a/batch/intake/intake_test.go
+++ b/batch/intake/intake_test.go
@@ -16,7 +16,7 @@
 	"github.com/cyclamentray/cyclamentray/standin/keyspace"
 )
 
-const patience = 900 * time.Millisecond
+const callerTimeout = 900 * time.Millisecond
 
 func newIntake(fault func(keyspace.Call) keyspace.Outcome) (*intake.Intake, *ledger.Replica) {
 	logger := log.New(io.Discard)
@@ -62,19 +62,20 @@
 	must.Eq(t, intake.NotFound, kindOf(err))
 }
 
-// What a store certainly did not do is refused soon and with a time to return;
-// what it may have done is never called not accepted.
-func TestRefusalsAreTrue(t *testing.T) {
+// A job that was certainly not stored is refused promptly as not accepted. A job
+// that may have been stored, because a response of the store was lost, must not
+// be reported as not accepted.
+func TestSubmitReportsStoreOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		outcome []keyspace.Outcome // of the tries, the last one for all further
+		outcome []keyspace.Outcome // of each try; the last applies to all later tries
 		want    intake.Kind
 		within  time.Duration
 	}{
-		{"served", []keyspace.Outcome{keyspace.Served}, "", 200 * time.Millisecond},
-		{"store away", []keyspace.Outcome{keyspace.Refused}, intake.NotAccepted, 500 * time.Millisecond},
-		{"answer lost, found again", []keyspace.Outcome{keyspace.Lost, keyspace.Served}, "", 500 * time.Millisecond},
-		{"answer lost, store away", []keyspace.Outcome{keyspace.Lost, keyspace.Refused}, intake.OutcomeUnknown, patience},
+		{"stored", []keyspace.Outcome{keyspace.Served}, "", 200 * time.Millisecond},
+		{"store unavailable", []keyspace.Outcome{keyspace.Refused}, intake.NotAccepted, 500 * time.Millisecond},
+		{"response lost, then stored", []keyspace.Outcome{keyspace.Lost, keyspace.Served}, "", 500 * time.Millisecond},
+		{"response lost, then store unavailable", []keyspace.Outcome{keyspace.Lost, keyspace.Refused}, intake.OutcomeUnknown, callerTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			tries := 0
@@ -88,7 +89,7 @@
 			target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 			must.NoError(t, err)
 			began := time.Now()
-			err = in.Submit(context.Background(), target, oneTask(), patience)
+			err = in.Submit(context.Background(), target, oneTask(), callerTimeout)
 			must.Less(t, test.within, time.Since(began))
 			must.Eq(t, test.want, kindOf(err), must.Sprint(err))
 			_, known := replica.Job("0123456789abcdef")
@@ -97,45 +98,46 @@
 	}
 }
 
-func TestJobsThatCanNotBeMeant(t *testing.T) {
+func TestSubmitRejectsInvalidJobs(t *testing.T) {
 	in, _ := newIntake(nil)
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 	must.NoError(t, err)
 	for name, change := range map[string]func(*batch.Job){
 		"no steps":             func(j *batch.Job) { j.Steps = nil },
-		"no tasks":             func(j *batch.Job) { j.Steps[0].Tasks = 0 },
-		"tasks without number": func(j *batch.Job) { j.Steps[0].Tasks = 1 << 30 },
-		"negative":             func(j *batch.Job) { j.Steps[0].Request.Accelerators = -1 },
-		"after itself":         func(j *batch.Job) { j.Steps[0].After = []int{0} },
-		"after nothing":        func(j *batch.Job) { j.Steps[0].After = []int{-1} },
-		"long spec":            func(j *batch.Job) { j.Spec = string(make([]byte, 4001)) },
-		"endless":              func(j *batch.Job) { j.Schedule = &batch.Schedule{Occurrences: 1 << 30} },
+		"zero tasks":           func(j *batch.Job) { j.Steps[0].Tasks = 0 },
+		"too many tasks":       func(j *batch.Job) { j.Steps[0].Tasks = 1 << 30 },
+		"negative request":     func(j *batch.Job) { j.Steps[0].Request.Accelerators = -1 },
+		"depends on itself":    func(j *batch.Job) { j.Steps[0].After = []int{0} },
+		"negative dependency":  func(j *batch.Job) { j.Steps[0].After = []int{-1} },
+		"spec too long":        func(j *batch.Job) { j.Spec = string(make([]byte, 4001)) },
+		"too many occurrences": func(j *batch.Job) { j.Schedule = &batch.Schedule{Occurrences: 1 << 30} },
 	} {
 		job := oneTask()
 		change(&job)
-		must.Eq(t, intake.Malformed, kindOf(in.Submit(context.Background(), target, job, patience)), must.Sprint(name))
+		must.Eq(t, intake.Malformed, kindOf(in.Submit(context.Background(), target, job, callerTimeout)), must.Sprint(name))
 	}
 }
 
-// A job that this host has not heard of yet is looked up before it is called
-// unknown.
-func TestStateOfAJobThatTheCopyLacks(t *testing.T) {
+// A job that this host's replica has not received yet must be read from the store
+// before it is reported as unknown.
+func TestStateReadsStoreWhenReplicaLacksJob(t *testing.T) {
 	in, replica := newIntake(nil)
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 	must.NoError(t, err)
-	_, err = in.State(context.Background(), target, patience)
+	_, err = in.State(context.Background(), target, callerTimeout)
 	must.Eq(t, intake.UnknownJob, kindOf(err))
-	must.NoError(t, in.Submit(context.Background(), target, oneTask(), patience))
+	must.NoError(t, in.Submit(context.Background(), target, oneTask(), callerTimeout))
 	replica.Reset(nil)
-	state, err := in.State(context.Background(), target, patience)
+	state, err := in.State(context.Background(), target, callerTimeout)
 	must.NoError(t, err)
 	must.Eq(t, batch.Queued, state)
-	must.NoError(t, in.Cancel(context.Background(), target, patience))
-	must.NoError(t, in.Cancel(context.Background(), target, patience))
+	must.NoError(t, in.Cancel(context.Background(), target, callerTimeout))
+	must.NoError(t, in.Cancel(context.Background(), target, callerTimeout))
 }
 
-// While the store is known to be away a job is refused at once, and truly so.
-func TestKnownOutageRefusesAtOnce(t *testing.T) {
+// While the store is known to be unreachable, a job is refused within 50 ms as not
+// accepted, and nothing is written.
+func TestSubmitFailsFastDuringKnownStoreOutage(t *testing.T) {
 	writes := 0
 	in, _ := newIntake(func(c keyspace.Call) keyspace.Outcome {
 		if c.Write {
@@ -147,7 +149,7 @@
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 	must.NoError(t, err)
 	began := time.Now()
-	err = in.Submit(context.Background(), target, oneTask(), patience)
+	err = in.Submit(context.Background(), target, oneTask(), callerTimeout)
 	must.Less(t, 50*time.Millisecond, time.Since(began))
 	must.Eq(t, intake.NotAccepted, kindOf(err))
 	must.Eq(t, 0, writes)
--- a/batch/intake/leader.go
+++ b/batch/intake/leader.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// leaderTimeout bounds the question to the leader: a few hundred times the
-	// way between failure domains, and short for a caller that waits for it.
+	// leaderTimeout limits one call to the leader: a few hundred network round
+	// trips between failure domains, yet short for the caller that waits.
 	leaderTimeout = 150 * time.Millisecond
 
-	// leaderPause is how long a leader that did not answer isn't asked again:
-	// about the time in which it is replaced.
-	leaderPause = time.Second
+	// leaderRetryInterval is how long a leader that did not answer is not called
+	// again: about the time until another host leads.
+	leaderRetryInterval = time.Second
 )
 
-// StateArgs asks for the state of a job.
+// StateArgs is the request for the state of the job with the given id.
 type StateArgs struct{ ID string }
 
-// StateReply is the state in the asked host's copy.
+// StateReply is the state of a job in the called host's replica.
 type StateReply struct {
 	Known bool
 	State batch.State
 }
 
-// PendingArgs asks how many jobs of a queue have not begun.
+// PendingArgs is the request for the number of a queue's jobs that have not started.
 type PendingArgs struct{ Queue string }
 
-// StateService answers other hosts from this host's copy. It is registered as "Jobs".
+// StateService serves other hosts from this host's replica. It is registered as "Jobs".
 type StateService struct{ Replica *ledger.Replica }
 
-// State answers with the state of one job.
+// State replies with the state of one job.
 func (s *StateService) State(args StateArgs, reply *StateReply) error {
 	entry, known := s.Replica.Job(args.ID)
 	if known {
@@ -47,59 +47,62 @@
 	return nil
 }
 
-// Pending answers with the number of a queue's jobs that have not begun.
+// Pending replies with the number of a queue's jobs that have not started.
 func (s *StateService) Pending(args PendingArgs, reply *int) error {
 	*reply = s.Replica.Pending(args.Queue)
 	return nil
 }
 
-// LeaderClient asks the host that leads, whose copy follows the store without a
-// pause, while the other hosts read changes in groups. It is safe for concurrent use.
+// LeaderClient queries the replica of the leading host. The leader applies the
+// store's changes without a pause; the other hosts read them in batches. It is
+// safe for concurrent use.
 type LeaderClient struct {
 	Replica *ledger.Replica
 	Peers   peer.Caller
-	Host    string // this one; it doesn't ask itself
+	Host    string // this host; it does not call itself
 	Log     *log.Logger
 
 	mu      sync.Mutex
-	resting steady.Time // until when the leader isn't asked
+	retryAt steady.Time // the leader is not called before this time; 0: no call has failed
 }
 
-// State returns the state of a job as the leader has it; ok is false when it
-// can't be asked or doesn't know the job.
+// State returns the state of a job in the leader's replica; ok is false when the
+// leader can't be called or its replica lacks the job.
 func (l *LeaderClient) State(ctx context.Context, id string) (state batch.State, ok bool) {
 	var reply StateReply
-	if !l.ask(ctx, "Jobs.State", StateArgs{ID: id}, &reply) {
+	if !l.call(ctx, "Jobs.State", StateArgs{ID: id}, &reply) {
 		return "", false
 	}
 	return reply.State, reply.Known
 }
 
-// Pending returns how many jobs of a queue have not begun, as the leader has
-// it; ok is false when it can't be asked.
+// Pending returns the number of a queue's jobs that have not started in the
+// leader's replica; ok is false when the leader can't be called.
 func (l *LeaderClient) Pending(ctx context.Context, queue string) (n int, ok bool) {
-	ok = l.ask(ctx, "Jobs.Pending", PendingArgs{Queue: queue}, &n)
+	ok = l.call(ctx, "Jobs.Pending", PendingArgs{Queue: queue}, &n)
 	return n, ok
 }
 
-// ask reports whether the leader answered. If not, this host's own copy has to
-// do; it is behind by a fraction of a second.
-func (l *LeaderClient) ask(ctx context.Context, method string, args, reply any) bool {
-	address := l.address()
-	if address == "" || steady.Now().Before(l.restsUntil()) {
+// call calls a method of the leader and reports whether the leader answered. If
+// not, the caller uses this host's replica, which lags a fraction of a second.
+func (l *LeaderClient) call(ctx context.Context, method string, args, reply any) bool {
+	address := l.leaderAddress()
+	if address == "" || steady.Now().Before(l.nextRetry()) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	if err := l.Peers.Call(ctx, address, method, args, reply); err != nil {
-		l.Log.Debug("leader not asked for a while; this host's copy answers", "leader", address, "err", err)
-		l.rest(steady.Now().Add(leaderPause))
+		l.Log.Debug("leader did not answer; using the local replica for a while", "leader", address, "err", err)
+		l.delayRetry(steady.Now().Add(leaderRetryInterval))
 		return false
 	}
 	return true
 }
 
-func (l *LeaderClient) address() string {
+// leaderAddress returns the leader's address, or "" if this host leads or the
+// leader's address is unknown.
+func (l *LeaderClient) leaderAddress() string {
 	name := l.Replica.Leader().HostName()
 	if name == l.Host {
 		return ""
@@ -107,14 +110,14 @@
 	return l.Replica.Hosts()[name].Address
 }
 
-func (l *LeaderClient) restsUntil() steady.Time {
+func (l *LeaderClient) nextRetry() steady.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.resting
+	return l.retryAt
 }
 
-func (l *LeaderClient) rest(until steady.Time) {
+func (l *LeaderClient) delayRetry(until steady.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resting = until
+	l.retryAt = until
 }
--- a/batch/intake/leader_test.go
+++ b/batch/intake/leader_test.go
@@ -18,20 +18,21 @@
 )
 
 const (
-	askedJob      = "0123456789abcdef"
+	jobID         = "0123456789abcdef"
 	leaderAddress = "leader:1"
 )
 
-// leaderPeer answers as the leader would from its own copy, or not at all.
+// leaderPeer is a peer.Caller that answers from the leader's replica, or not at
+// all while unresponsive.
 type leaderPeer struct {
-	service intake.StateService
-	silent  bool
-	calls   int
+	service      intake.StateService
+	unresponsive bool
+	calls        int
 }
 
 func (p *leaderPeer) Call(ctx context.Context, address, _ string, args, reply any) error {
 	p.calls++
-	if p.silent || address != leaderAddress {
+	if p.unresponsive || address != leaderAddress {
 		<-ctx.Done()
 		return errors.Mark(ctx.Err(), peer.ErrNotSent)
 	}
@@ -41,7 +42,9 @@
 	return p.service.State(args.(intake.StateArgs), reply.(*intake.StateReply))
 }
 
-func copyWith(t *testing.T, state batch.State) *ledger.Replica {
+// replicaWithJob returns a replica that holds the leader's address and one job in
+// the given state; an empty state means that the job has none recorded.
+func replicaWithJob(t *testing.T, state batch.State) *ledger.Replica {
 	encode := func(v any) []byte {
 		text, err := json.Marshal(v)
 		must.NoError(t, err)
@@ -51,57 +54,60 @@
 	items := []kvstore.Item{
 		{Key: ledger.LeaderKey, Value: []byte("strong/1"), Revision: 7},
 		{Key: ledger.HostKey("strong"), Value: encode(ledger.Host{Address: leaderAddress})},
-		{Key: ledger.JobKey(askedJob), Value: encode(batch.Job{ID: askedJob})},
+		{Key: ledger.JobKey(jobID), Value: encode(batch.Job{ID: jobID})},
 	}
 	if state != "" {
-		items = append(items, kvstore.Item{Key: ledger.StateKey(askedJob), Value: []byte(state), Revision: 9})
+		items = append(items, kvstore.Item{Key: ledger.StateKey(jobID), Value: []byte(state), Revision: 9})
 	}
 	replica.Reset(items)
 	return replica
 }
 
-func askingIntake(t *testing.T, own batch.State, p *leaderPeer) *intake.Intake {
+func newIntakeWithLeader(t *testing.T, local batch.State, p *leaderPeer) *intake.Intake {
 	in, _ := newIntake(nil)
-	in.Replica = copyWith(t, own)
+	in.Replica = replicaWithJob(t, local)
 	in.Leader = &intake.LeaderClient{Replica: in.Replica, Peers: p, Host: "weak", Log: in.Log}
 	return in
 }
 
-// A host reads changes in groups, so its copy is behind. Callers get the state
-// that the leader has, and an earlier one never replaces a later one.
-func TestStateComesFromTheLeadersCopy(t *testing.T) {
-	for _, c := range []struct{ own, leader, told batch.State }{
+// A host that does not lead reads changes in batches, so its replica lags. Callers
+// get the leader's state, and an earlier state never replaces a later one.
+func TestStateUsesLeaderReplica(t *testing.T) {
+	for _, c := range []struct{ local, leader, want batch.State }{
 		{"", batch.Running, batch.Running},
 		{batch.Running, batch.Completed, batch.Completed},
 		{batch.Running, "", batch.Running},
 		{batch.Completed, batch.Running, batch.Completed},
 	} {
-		p := &leaderPeer{service: intake.StateService{Replica: copyWith(t, c.leader)}}
-		state, err := askingIntake(t, c.own, p).State(t.Context(), intake.Target{JobID: askedJob}, patience)
+		p := &leaderPeer{service: intake.StateService{Replica: replicaWithJob(t, c.leader)}}
+		state, err := newIntakeWithLeader(t, c.local, p).State(t.Context(), intake.Target{JobID: jobID}, callerTimeout)
 		must.NoError(t, err)
-		must.Eq(t, c.told, state, must.Sprintf("%+v", c))
+		must.Eq(t, c.want, state, must.Sprintf("%+v", c))
 	}
 }
 
-// So does the count of jobs that have not begun: told after a state, it fits it.
-func TestPendingComesFromTheLeadersCopy(t *testing.T) {
-	p := &leaderPeer{service: intake.StateService{Replica: copyWith(t, batch.Completed)}}
-	in := askingIntake(t, "", p)
+// The count of pending jobs also comes from the leader's replica, so that it is
+// consistent with a state returned before. Without the leader, the local replica
+// is used.
+func TestPendingUsesLeaderReplica(t *testing.T) {
+	p := &leaderPeer{service: intake.StateService{Replica: replicaWithJob(t, batch.Completed)}}
+	in := newIntakeWithLeader(t, "", p)
 	n, err := in.Pending(t.Context(), intake.Target{})
 	must.NoError(t, err)
 	must.Zero(t, n)
-	p.silent = true
+	p.unresponsive = true
 	n, err = in.Pending(t.Context(), intake.Target{})
 	must.NoError(t, err)
 	must.One(t, n)
 }
 
-// A leader that does not answer is asked once, and the host's own copy answers.
-func TestSilentLeaderIsNotAskedAgain(t *testing.T) {
-	p := &leaderPeer{silent: true}
-	in := askingIntake(t, batch.Running, p)
+// A leader that does not answer is called once, and later requests are answered
+// from the local replica without another call.
+func TestUnresponsiveLeaderIsNotRetriedAtOnce(t *testing.T) {
+	p := &leaderPeer{unresponsive: true}
+	in := newIntakeWithLeader(t, batch.Running, p)
 	for range 20 {
-		state, err := in.State(t.Context(), intake.Target{JobID: askedJob}, patience)
+		state, err := in.State(t.Context(), intake.Target{JobID: jobID}, callerTimeout)
 		must.NoError(t, err)
 		must.Eq(t, batch.Running, state)
 	}
