--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -111,15 +111,15 @@
 		Metrics: h.Metrics, StoreUnreachable: func() bool { return h.storeLostFor() > refuseAfterStoreLoss },
 		Leader: &intake.LeaderClient{Replica: h.Replica, Peers: h.Peers, Host: h.Name, Log: h.Log},
 	})
-	front := &http.Server{Handler: h.NewAPIHandler(jobs), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
-	ready := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: readHeaderTimeout}
-	peers := peer.NewServer(peer.Options{Host: h.Name})
-	if err := h.registerPeerCalls(peers); err != nil {
+	apiServer := &http.Server{Handler: h.NewAPIHandler(jobs), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
+	readinessServer := &http.Server{Handler: http.HandlerFunc(h.serveReady), ReadHeaderTimeout: readHeaderTimeout}
+	peerServer := peer.NewServer(peer.Options{Host: h.Name})
+	if err := h.registerPeerCalls(peerServer); err != nil {
 		return err
 	}
 	failed := make(chan error, 3)
-	if err := errors.CombineErrors(listenAndServe(h.APIAddress, front.Serve, failed),
-		errors.CombineErrors(listenAndServe(h.ReadinessAddress, ready.Serve, failed), listenAndServe(h.PeerAddress, peers.Serve, failed))); err != nil {
+	if err := errors.CombineErrors(listenAndServe(h.APIAddress, apiServer.Serve, failed),
+		errors.CombineErrors(listenAndServe(h.ReadinessAddress, readinessServer.Serve, failed), listenAndServe(h.PeerAddress, peerServer.Serve, failed))); err != nil {
 		return err
 	}
 	metricsServer, err := h.serveMetrics(failed)
@@ -139,9 +139,9 @@
 	case <-ctx.Done():
 	case err = <-failed:
 	}
-	h.drain(front, resign)
+	h.drain(apiServer, resign)
 	stop()
-	err = errors.CombineErrors(err, errors.CombineErrors(ready.Close(), peers.Close()))
+	err = errors.CombineErrors(err, errors.CombineErrors(readinessServer.Close(), peerServer.Close()))
 	background.Wait()
 	h.Log.Info("stopped")
 	return err
@@ -190,7 +190,7 @@
 
 // drain resigns the candidacy, reports the host as not ready, serves on until
 // the load balancer has noticed, and waits for requests in progress.
-func (h *Host) drain(front *http.Server, resign func()) {
+func (h *Host) drain(apiServer *http.Server, resign func()) {
 	h.Log.Info("stopping", "grace", h.GracePeriod)
 	h.mu.Lock()
 	h.stopping = true
@@ -199,8 +199,8 @@
 	limit, cancel := context.WithTimeout(context.Background(), h.GracePeriod-shutdownMargin)
 	defer cancel()
 	pause.For(limit, balancerNoticePeriod)
-	front.SetKeepAlivesEnabled(false)
-	if err := front.Shutdown(limit); err != nil {
+	apiServer.SetKeepAlivesEnabled(false)
+	if err := apiServer.Shutdown(limit); err != nil {
 		h.Log.Warn("requests aborted at the end of the grace period", "err", err)
 	}
 }
