--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -196,11 +196,11 @@
 	h.stopping = true
 	h.mu.Unlock()
 	resign()
-	limit, cancel := context.WithTimeout(context.Background(), h.GracePeriod-shutdownMargin)
+	drainCtx, cancel := context.WithTimeout(context.Background(), h.GracePeriod-shutdownMargin)
 	defer cancel()
-	pause.For(limit, balancerNoticePeriod)
+	pause.For(drainCtx, balancerNoticePeriod)
 	apiServer.SetKeepAlivesEnabled(false)
-	if err := apiServer.Shutdown(limit); err != nil {
+	if err := apiServer.Shutdown(drainCtx); err != nil {
 		h.Log.Warn("requests aborted at the end of the grace period", "err", err)
 	}
 }
--- a/batch/intake/leader.go
+++ b/batch/intake/leader.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// leaderTimeout limits one call to the leader: a few hundred network round
-	// trips between failure domains, yet short for the caller that waits.
+	// leaderTimeout limits one call to the leader: a few hundred times the network
+	// latency between failure domains, yet short for the caller that waits.
 	leaderTimeout = 150 * time.Millisecond
 
 	// leaderRetryInterval is how long a leader that did not answer is not called
