--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -93,7 +93,7 @@
 	if through.busy || now.Before(through.rests) {
 		return true
 	}
-	q, due := l.core.Ask(now)
+	q, due := l.core.NextQuestion(now)
 	if !due {
 		return false
 	}
@@ -128,10 +128,10 @@
 	through.busy = false
 	if err != nil {
 		through.rests = now.Add(askerRest)
-		l.core.NotAdvised(q, now)
+		l.core.HandleAdviceFailure(q, now)
 		return
 	}
-	l.core.Advised(q, approval, asked)
+	l.core.HandleAdvice(q, approval, asked)
 }
 
 func (a *Askers) advise(ctx context.Context, q scheduler.Question, address string) (approval batch.Approval, err error) {
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -150,11 +150,11 @@
 	whole.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
-		Early:          l.Early,
-		RemoteFactor:   l.RemoteFactor,
-		InheritedUntil: now.Add(slowest(l.Lease)),
-		Learned:        found.speeds,
-		Observe:        l.observe,
+		MaxEarlyStart:     l.Early,
+		RemoteFactor:      l.RemoteFactor,
+		InheritedLeaseEnd: now.Add(slowest(l.Lease)),
+		LearnedSpeeds:     found.speeds,
+		Observe:           l.observe,
 	})
 	recorded := make(map[string]kvstore.Item, len(found.progress))
 	for _, item := range found.progress {
@@ -185,7 +185,7 @@
 	l.states[id] = e.Recorded
 	l.core.AddJob(e.Job, recorded, now)
 	if e.Cancelled {
-		l.core.Cancel(id, now)
+		l.core.CancelJob(id, now)
 	}
 }
 
@@ -193,7 +193,7 @@
 	l.count(d)
 	l.Log.Info(d.What, "job", d.Job, "occurrence", d.Task.Occurrence, "step", d.Task.Step, "task", d.Task.Index,
 		"attempt", d.Attempt, "runner", d.Runner, "reason", d.Reason, "token", l.term.Token, "waited", d.Waited.Round(time.Millisecond),
-		"factor", math.Round(d.Factor*100)/100, "work", d.Work.Round(time.Millisecond))
+		"factor", math.Round(d.TimeFactor*100)/100, "work", d.Work.Round(time.Millisecond))
 }
 
 func (l *Leader) count(d scheduler.Decision) {
@@ -204,8 +204,8 @@
 	if d.What == "place" {
 		l.Metrics.GetOrCreateHistogram("cyclamentray_batch_wait_seconds").Update(d.Waited.Seconds())
 	}
-	if d.Preempted > 0 {
-		l.Metrics.GetOrCreateHistogram("cyclamentray_batch_reclaim_seconds").Update(d.Preempted.Seconds())
+	if d.SincePreemption > 0 {
+		l.Metrics.GetOrCreateHistogram("cyclamentray_batch_reclaim_seconds").Update(d.SincePreemption.Seconds())
 	}
 }
 
@@ -235,10 +235,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Replica.Each(func(e ledger.Entry) {
-		if _, known := l.core.State(e.Job.ID); !known {
+		if _, known := l.core.JobState(e.Job.ID); !known {
 			l.addJob(e, kvstore.Item{}, now)
 		} else if e.Cancelled {
-			l.core.Cancel(e.Job.ID, now)
+			l.core.CancelJob(e.Job.ID, now)
 		}
 	})
 }
@@ -246,14 +246,14 @@
 func (l *Leader) decide(ctx context.Context) {
 	wait := l.holdWait()
 	l.mu.Lock()
-	l.core.Configure(l.Conditions.Configuration())
-	l.core.Evacuate(l.Conditions.Evacuated())
-	l.core.Freshness(wait + holdGrace)
+	l.core.SetConfiguration(l.Conditions.Configuration())
+	l.core.SetEvacuated(l.Conditions.Evacuated())
+	l.core.SetMaxReportAge(wait + holdGrace)
 	if l.term.Valid() {
 		l.core.Decide(steady.Now(), l.Now())
 	}
 	orders := l.core.TakeOrders()
-	asks := l.core.AnyAdvised()
+	asks := l.core.HasAdvisedJobs()
 	l.mu.Unlock()
 	l.send(ctx, orders)
 	if asks {
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -75,7 +75,7 @@
 func (l runnerEvents) Listed(r batch.Runner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.ListRunner(r, steady.Now())
+	l.core.RunnerListed(r, steady.Now())
 	if known := l.links[r.ID]; known != nil {
 		known.runner = r
 		return
@@ -89,7 +89,7 @@
 func (l runnerEvents) Unlisted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.UnlistRunner(id)
+	l.core.RunnerUnlisted(id)
 	signal(l.wake)
 }
 
@@ -125,11 +125,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.links[id]
-	if !l.core.Needed(id) {
+	if !l.core.RunnerNeeded(id) {
 		delete(l.links, id)
 		return batch.Runner{}, HoldOrder{}, false
 	}
-	o = HoldOrder{Token: l.term.Token, Acknowledged: l.core.Acknowledged(id), Wait: wait}
+	o = HoldOrder{Token: l.term.Token, Acknowledged: l.core.AcknowledgedEnd(id), Wait: wait}
 	o.Deadline = l.deadline(k)
 	return k.runner, o, true
 }
@@ -138,14 +138,14 @@
 // and notes it. It is zero while the clock is unknown. The caller holds mu.
 func (l *Leader) deadline(k *link) time.Duration {
 	now := steady.Now()
-	if k.clockAt.IsZero() || !l.core.MayExtend(k.runner.ID, now) {
+	if k.clockAt.IsZero() || !l.core.MayExtendLease(k.runner.ID, now) {
 		return 0
 	}
 	lease := min(l.Lease, l.term.HoldLimit(l.Lease).Sub(now))
 	if lease <= 0 {
 		return 0
 	}
-	l.core.Extend(k.runner.ID, now.Add(slowest(lease)))
+	l.core.NoteLeaseExtension(k.runner.ID, now.Add(slowest(lease)))
 	return k.clock + now.Sub(k.clockAt) + lease
 }
 
@@ -168,14 +168,14 @@
 			l.Log.Debug("hold failed", "runner", to.ID, "answer", int(answer), "err", err)
 		}
 		refused := answer == OtherIncarnation || errors.Is(err, syscall.ECONNREFUSED)
-		l.core.Unreachable(to.ID, refused, now)
+		l.core.RunnerUnreachable(to.ID, refused, now)
 		signal(l.wake)
 		return false
 	}
 	if k := l.links[to.ID]; k != nil {
 		k.clock, k.clockAt = report.Clock, now
 	}
-	l.core.Report(to.ID, asked, report, now)
+	l.core.HandleReport(to.ID, asked, report, now)
 	if len(report.Ended) > 0 || o.Deadline == 0 {
 		signal(l.wake)
 	}
@@ -198,7 +198,7 @@
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
-		open, committed := l.core.Unacknowledged(id), l.committed
+		open, committed := l.core.HasUnacknowledgedEnds(id), l.committed
 		l.mu.Unlock()
 		if !open {
 			return l.holdWait()
@@ -232,7 +232,7 @@
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.Answered(o, a, now)
+	l.core.HandleAnswer(o, a, now)
 	signal(l.wake)
 }
 
@@ -243,7 +243,7 @@
 	doubt := false
 	for range startTries {
 		if !l.term.Valid() && !doubt {
-			return scheduler.NotDone
+			return scheduler.NotExecuted
 		}
 		answer, sent, err := l.startOnce(ctx, o)
 		if answer == Accepted {
@@ -263,15 +263,15 @@
 			"attempt", o.Attempt, "runner", o.Runner.ID, "answer", int(answer), "earlier-try", doubt)
 		switch {
 		case doubt:
-			return scheduler.Unknown
+			return scheduler.OutcomeUnknown
 		case answer == Unhealthy || answer == OtherIncarnation:
 			return scheduler.Unhealthy
 		default:
-			return scheduler.NotDone
+			return scheduler.NotExecuted
 		}
 	}
 	if doubt {
-		return scheduler.Unknown
+		return scheduler.OutcomeUnknown
 	}
 	return scheduler.Unhealthy
 }
@@ -335,5 +335,5 @@
 func (l *Leader) stopDue(o scheduler.Order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.Needed(o.Runner.ID)
+	return l.core.RunnerNeeded(o.Runner.ID)
 }
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -85,7 +85,7 @@
 	for _, r := range records {
 		l.revisions[r.Job] = revision
 		l.states[r.Job] = r.Progress.State
-		l.core.Committed(r.Job, r.Version, now)
+		l.core.RecordCommitted(r.Job, r.Version, now)
 	}
 	close(l.committed)
 	l.committed = make(chan struct{})
--- a/batch/dispatch/speeds.go
+++ b/batch/dispatch/speeds.go
@@ -56,7 +56,7 @@
 
 func (l *Leader) encodeSpeeds() ([]byte, error) {
 	l.mu.Lock()
-	learned := l.core.Learned()
+	learned := l.core.LearnedSpeeds()
 	l.mu.Unlock()
 	return ledger.EncodeSpeeds(learned)
 }
--- a/batch/scheduler/advice.go
+++ b/batch/scheduler/advice.go
@@ -88,14 +88,14 @@
 	return known.ticket
 }
 
-// AnyAdvised reports whether an active job's steps need advice.
-func (c *Core) AnyAdvised() bool {
+// HasAdvisedJobs reports whether an active job's steps need advice.
+func (c *Core) HasAdvisedJobs() bool {
 	return slices.ContainsFunc(c.active, func(j *job) bool { return j.spec.Advice != nil })
 }
 
-// Ask returns the most urgent question for the adviser. Each one that it returns
+// NextQuestion returns the most urgent question for the adviser. Each one that it returns
 // must be followed by Advised or NotAdvised.
-func (c *Core) Ask(now steady.Time) (Question, bool) {
+func (c *Core) NextQuestion(now steady.Time) (Question, bool) {
 	var best *unit
 	var runners []slot
 	for _, j := range c.active {
@@ -202,8 +202,8 @@
 	return free
 }
 
-// Advised takes the adviser's answer to a question that was sent at asked.
-func (c *Core) Advised(q Question, a batch.Approval, asked steady.Time) {
+// HandleAdvice takes the adviser's answer to a question that was sent at asked.
+func (c *Core) HandleAdvice(q Question, a batch.Approval, asked steady.Time) {
 	p := c.permitsFor(q)
 	if p == nil {
 		return
@@ -214,8 +214,8 @@
 	}
 }
 
-// NotAdvised notes that a question got no answer.
-func (c *Core) NotAdvised(q Question, now steady.Time) {
+// HandleAdviceFailure notes that a question got no answer.
+func (c *Core) HandleAdviceFailure(q Question, now steady.Time) {
 	if p := c.permitsFor(q); p != nil {
 		p.asking = false
 		p.next = now.Add(askAgain)
--- a/batch/scheduler/advice_test.go
+++ b/batch/scheduler/advice_test.go
@@ -34,7 +34,7 @@
 	if w.adviser == nil || w.adviser.busy {
 		return
 	}
-	q, due := w.core.Ask(w.now)
+	q, due := w.core.NextQuestion(w.now)
 	if !due {
 		return
 	}
@@ -48,10 +48,10 @@
 			return
 		}
 		if a.away {
-			core.NotAdvised(q, w.now)
+			core.HandleAdviceFailure(q, w.now)
 			return
 		}
-		core.Advised(q, a.answer(w.now, q.Job, q.Step, q.Runners), asked)
+		core.HandleAdvice(q, a.answer(w.now, q.Job, q.Step, q.Runners), asked)
 	})
 }
 
--- a/batch/scheduler/answer.go
+++ b/batch/scheduler/answer.go
@@ -10,14 +10,14 @@
 
 // The outcomes.
 const (
-	Accepted  Answer = iota
-	NotDone          // the runner refused, and nothing was done
-	Unhealthy        // the same, because something is wrong with the runner
-	Unknown          // it may have been done, or may be done later
+	Accepted       Answer = iota
+	NotExecuted           // the runner refused, and nothing was done
+	Unhealthy             // the same, because something is wrong with the runner
+	OutcomeUnknown        // it may have been done, or may be done later
 )
 
-// Answered takes a runner's answer to an order.
-func (c *Core) Answered(o Order, a Answer, now steady.Time) {
+// HandleAnswer takes a runner's answer to an order.
+func (c *Core) HandleAnswer(o Order, a Answer, now steady.Time) {
 	r := c.runners[o.Runner.ID]
 	if r == nil {
 		return
@@ -50,7 +50,7 @@
 			u.job.state = batch.Running
 			c.change(u.job)
 		}
-	case NotDone, Unhealthy:
+	case NotExecuted, Unhealthy:
 		if a == Unhealthy {
 			r.runner.suspect(now)
 		}
@@ -61,7 +61,7 @@
 		c.detach(r)
 		c.change(u.job)
 		c.stopUnit(u, now, "another member was not started")
-	case Unknown:
+	case OutcomeUnknown:
 		r.runner.suspect(now)
 		c.stopUnit(u, now, "start without an answer")
 	}
--- a/batch/scheduler/core.go
+++ b/batch/scheduler/core.go
@@ -16,31 +16,31 @@
 
 // Options are limits of the deployment.
 type Options struct {
-	Early        time.Duration // how early an occurrence may start
-	RemoteFactor float64       // slow-down away from a gang's rack or from data
-	// InheritedUntil is when everything that an earlier scheduler started on a
+	MaxEarlyStart time.Duration // how early an occurrence may start
+	RemoteFactor  float64       // slow-down away from a gang's rack or from data
+	// InheritedLeaseEnd is when everything that an earlier scheduler started on a
 	// runner that doesn't answer has certainly lapsed.
-	InheritedUntil steady.Time
-	Learned        batch.Speeds // by earlier schedulers
-	// Plain places in order of arrival on the first runners that fit, without
+	InheritedLeaseEnd steady.Time
+	LearnedSpeeds     batch.Speeds // by earlier schedulers
+	// FirstFit places in order of arrival on the first runners that fit, without
 	// preemption and learned speeds: the baseline that measurements compare with.
-	Plain bool
+	FirstFit bool
 	// Observe, when set, is told of each decision.
 	Observe func(Decision)
 }
 
 // Decision is one thing decided, for logs and counters.
 type Decision struct {
-	What      string // such as "start", "preempt", "end"
-	Job       string
-	Task      batch.TaskID
-	Attempt   int
-	Runner    string
-	Reason    string
-	Waited    time.Duration
-	Preempted time.Duration // placements: since others were stopped for it; 0: none were
-	Factor    float64       // placements: expected time relative to an average runner
-	Work      time.Duration // placements: expected on an average runner
+	What            string // such as "start", "preempt", "end"
+	Job             string
+	Task            batch.TaskID
+	Attempt         int
+	Runner          string
+	Reason          string
+	Waited          time.Duration
+	SincePreemption time.Duration // placements: since others were stopped for it; 0: none were
+	TimeFactor      float64       // placements: expected time relative to an average runner
+	Work            time.Duration // placements: expected on an average runner
 }
 
 // OrderKind tells what an order asks of a runner.
@@ -95,17 +95,17 @@
 		opts:      o,
 		jobs:      make(map[string]*job),
 		runners:   make(map[string]*runner),
-		speeds:    newSpeeds(o.Learned),
+		speeds:    newSpeeds(o.LearnedSpeeds),
 		evacuated: make(map[string]bool),
 		fresh:     freshContact,
 	}
 }
 
-// Configure puts a configuration in force.
-func (c *Core) Configure(config *batch.Configuration) { c.config = config }
+// SetConfiguration puts a configuration in force.
+func (c *Core) SetConfiguration(config *batch.Configuration) { c.config = config }
 
-// Evacuate replaces the failure domains on whose runners nothing may start.
-func (c *Core) Evacuate(domains map[string]bool) { c.evacuated = domains }
+// SetEvacuated replaces the failure domains on whose runners nothing may start.
+func (c *Core) SetEvacuated(domains map[string]bool) { c.evacuated = domains }
 
 // TakeOrders returns the orders given since the last call.
 func (c *Core) TakeOrders() []Order {
@@ -114,8 +114,8 @@
 	return out
 }
 
-// Learned returns what was learned of the speeds of the runners that are known.
-func (c *Core) Learned() batch.Speeds { return c.speeds.learned(c.runners) }
+// LearnedSpeeds returns what was learned of the speeds of the runners that are known.
+func (c *Core) LearnedSpeeds() batch.Speeds { return c.speeds.learned(c.runners) }
 
 // Record is a job's progress to be committed.
 type Record struct {
@@ -137,9 +137,9 @@
 	return out
 }
 
-// Committed notes that a job's record is in the store, and gives out the
+// RecordCommitted notes that a job's record is in the store, and gives out the
 // starts that waited for it.
-func (c *Core) Committed(id string, version int, now steady.Time) {
+func (c *Core) RecordCommitted(id string, version int, now steady.Time) {
 	j := c.jobs[id]
 	if j == nil || version <= j.committed {
 		return
--- a/batch/scheduler/decide.go
+++ b/batch/scheduler/decide.go
@@ -99,7 +99,7 @@
 		c.stopUnit(u, now, "runner is leaving")
 		return
 	}
-	if !c.opts.Plain && c.betterElsewhere(u, now) {
+	if !c.opts.FirstFit && c.betterElsewhere(u, now) {
 		c.stopUnit(u, now, "too slow where it runs")
 		return
 	}
@@ -175,12 +175,12 @@
 	var out []*unit
 	for _, j := range c.active {
 		for _, u := range j.units {
-			if u.waiting() && u.eligible(now, wall, c.opts.Early) {
+			if u.waiting() && u.eligible(now, wall, c.opts.MaxEarlyStart) {
 				out = append(out, u)
 			}
 		}
 	}
-	if c.opts.Plain {
+	if c.opts.FirstFit {
 		slices.SortStableFunc(out, func(a, b *unit) int { return a.job.spec.Accepted.Compare(b.job.spec.Accepted) })
 		return out
 	}
@@ -227,7 +227,7 @@
 
 // preempts reports whether others may be stopped for the unit.
 func (c *Core) preempts(u *unit, now steady.Time) bool {
-	if c.opts.Plain {
+	if c.opts.FirstFit {
 		return false
 	}
 	return u.job.spec.Priority == 0 || u.spec().LongRunning && now.Sub(u.since) >= lastingPatience
@@ -276,8 +276,8 @@
 		c.attach(r)
 		c.opts.Observe(Decision{
 			What: "place", Job: j.spec.ID, Task: r.task(), Attempt: r.attempt, Runner: to.ID, Waited: now.Sub(u.since),
-			Preempted: preempted,
-			Factor:    c.speeds.timeFactor(to.ID), Work: c.speeds.duration(u),
+			SincePreemption: preempted,
+			TimeFactor:      c.speeds.timeFactor(to.ID), Work: c.speeds.duration(u),
 		})
 	}
 }
--- a/batch/scheduler/decide_test.go
+++ b/batch/scheduler/decide_test.go
@@ -223,10 +223,10 @@
 // without the label that a step asks for, or beyond its spread limit.
 func TestFilters(t *testing.T) {
 	w := calmWorld(t, 2, 2)
-	w.core.Evacuate(map[string]bool{"fd0": true})
+	w.core.SetEvacuated(map[string]bool{"fd0": true})
 	leaving := w.pool.Runner("r1-0").Runner
 	leaving.Draining = true
-	w.core.ListRunner(leaving, w.now)
+	w.core.RunnerListed(leaving, w.now)
 	spread := batch.Step{Tasks: 3, PerRunner: 2, Estimate: time.Second, Request: batch.Resources{Accelerators: 1}}
 	w.submit(batch.Job{ID: "spread", Priority: 1, Steps: []batch.Step{spread}}, time.Minute, false)
 	labelled := gang(1, 1, time.Second)
--- a/batch/scheduler/job.go
+++ b/batch/scheduler/job.go
@@ -251,8 +251,8 @@
 	})
 }
 
-// Cancel stops a job for good.
-func (c *Core) Cancel(id string, now steady.Time) {
+// CancelJob stops a job for good.
+func (c *Core) CancelJob(id string, now steady.Time) {
 	j := c.jobs[id]
 	if j == nil || j.cancelled {
 		return
@@ -317,8 +317,8 @@
 	}
 }
 
-// State returns a job's state as decided, recorded or not.
-func (c *Core) State(id string) (batch.State, bool) {
+// JobState returns a job's state as decided, recorded or not.
+func (c *Core) JobState(id string) (batch.State, bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return "", false
--- a/batch/scheduler/place.go
+++ b/batch/scheduler/place.go
@@ -142,7 +142,7 @@
 
 func (c *Core) cost(u *unit, r *runner, remote bool) float64 {
 	cost := 1.0
-	if !c.opts.Plain {
+	if !c.opts.FirstFit {
 		cost = c.speeds.cautiousFactor(r.ID)
 	}
 	if remote {
--- a/batch/scheduler/report.go
+++ b/batch/scheduler/report.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/internal/steady"
 )
 
-// Report takes a runner's report that was asked for at asked.
-func (c *Core) Report(id string, asked steady.Time, report batch.Report, now steady.Time) {
+// HandleReport takes a runner's report that was asked for at asked.
+func (c *Core) HandleReport(id string, asked steady.Time, report batch.Report, now steady.Time) {
 	r := c.runner(id)
 	if asked.Before(r.reported) {
 		return // overtaken by a later one
--- a/batch/scheduler/runner.go
+++ b/batch/scheduler/runner.go
@@ -66,15 +66,15 @@
 			Runner:  batch.Runner{ID: id},
 			runs:    make(map[runKey]*run),
 			foreign: make(map[runKey]steady.Time),
-			bound:   c.opts.InheritedUntil,
+			bound:   c.opts.InheritedLeaseEnd,
 		}
 		c.runners[id] = r
 	}
 	return r
 }
 
-// ListRunner takes what a runner last said of itself.
-func (c *Core) ListRunner(told batch.Runner, now steady.Time) {
+// RunnerListed takes what a runner last said of itself.
+func (c *Core) RunnerListed(told batch.Runner, now steady.Time) {
 	r := c.runner(told.ID)
 	if r.Born != 0 && told.Born != 0 && r.Born > told.Born {
 		return // an entry of an earlier incarnation
@@ -90,8 +90,8 @@
 	r.listed = true
 }
 
-// UnlistRunner notes that a runner's entry is gone. What runs there still counts.
-func (c *Core) UnlistRunner(id string) {
+// RunnerUnlisted notes that a runner's entry is gone. What runs there still counts.
+func (c *Core) RunnerUnlisted(id string) {
 	if r := c.runners[id]; r != nil {
 		r.listed = false
 	}
@@ -107,8 +107,8 @@
 	c.loseRuns(r, now, "runner left")
 }
 
-// Needed reports whether a runner is listed or may still run something.
-func (c *Core) Needed(id string) bool {
+// RunnerNeeded reports whether a runner is listed or may still run something.
+func (c *Core) RunnerNeeded(id string) bool {
 	r := c.runners[id]
 	return r != nil && (r.listed || len(r.runs) > 0)
 }
@@ -118,25 +118,25 @@
 // is gone for good would otherwise seem to hold its tasks for ever.
 const extendGrace = 300 * time.Millisecond
 
-// Freshness sets the oldest report on which a start may rest.
-func (c *Core) Freshness(d time.Duration) { c.fresh = d }
+// SetMaxReportAge sets the oldest report on which a start may rest.
+func (c *Core) SetMaxReportAge(d time.Duration) { c.fresh = d }
 
-// MayExtend reports whether a runner's lease may be extended now.
-func (c *Core) MayExtend(id string, now steady.Time) bool {
+// MayExtendLease reports whether a runner's lease may be extended now.
+func (c *Core) MayExtendLease(id string, now steady.Time) bool {
 	r := c.runners[id]
 	return r != nil && !r.contact.IsZero() && now.Sub(r.contact) <= c.fresh+extendGrace
 }
 
-// Extend notes, before it is sent, that an order may extend a runner's lease
+// NoteLeaseExtension notes, before it is sent, that an order may extend a runner's lease
 // until the given time.
-func (c *Core) Extend(id string, until steady.Time) {
+func (c *Core) NoteLeaseExtension(id string, until steady.Time) {
 	r := c.runner(id)
 	r.bound = max(r.bound, until)
 }
 
-// Acknowledged returns the end up to which all is recorded. It is none while a
+// AcknowledgedEnd returns the end up to which all is recorded. It is none while a
 // runner is not reached: one that restarts numbers its ends anew.
-func (c *Core) Acknowledged(id string) int64 {
+func (c *Core) AcknowledgedEnd(id string) int64 {
 	r := c.runners[id]
 	if r == nil || !r.reachable {
 		return 0
@@ -157,8 +157,8 @@
 	r.ends = r.ends[n:]
 }
 
-// Unacknowledged reports whether ends of a runner wait to be recorded.
-func (c *Core) Unacknowledged(id string) bool {
+// HasUnacknowledgedEnds reports whether ends of a runner wait to be recorded.
+func (c *Core) HasUnacknowledgedEnds(id string) bool {
 	r := c.runners[id]
 	if r == nil {
 		return false
@@ -167,9 +167,9 @@
 	return len(r.ends) > 0
 }
 
-// Unreachable notes that a runner did not answer. When it had announced its
+// RunnerUnreachable notes that a runner did not answer. When it had announced its
 // leaving, is no longer listed and refuses connections, it has left.
-func (c *Core) Unreachable(id string, refused bool, now steady.Time) {
+func (c *Core) RunnerUnreachable(id string, refused bool, now steady.Time) {
 	r := c.runners[id]
 	if r == nil {
 		return
--- a/batch/scheduler/world_test.go
+++ b/batch/scheduler/world_test.go
@@ -147,15 +147,15 @@
 func (w *world) cancel(id string) {
 	w.cancelled[id] = w.now
 	if w.core != nil {
-		w.core.Cancel(id, w.now)
+		w.core.CancelJob(id, w.now)
 	}
 }
 
 // lead starts a new scheduler from what is recorded.
 func (w *world) lead() {
 	w.token++
-	core := scheduler.New(scheduler.Options{Plain: w.plain, RemoteFactor: 3, InheritedUntil: w.inheritedUntil(), Learned: w.learned})
-	core.Configure(&batch.Configuration{Organisations: []batch.Organisation{
+	core := scheduler.New(scheduler.Options{FirstFit: w.plain, RemoteFactor: 3, InheritedLeaseEnd: w.inheritedUntil(), LearnedSpeeds: w.learned})
+	core.SetConfiguration(&batch.Configuration{Organisations: []batch.Organisation{
 		{Name: "one", Guaranteed: batch.Resources{Accelerators: 24}},
 	}})
 	ids := make([]string, 0, len(w.jobs))
@@ -170,13 +170,13 @@
 		}
 		core.AddJob(w.jobs[id], recorded, w.now)
 		if _, gone := w.cancelled[id]; gone {
-			core.Cancel(id, w.now)
+			core.CancelJob(id, w.now)
 		}
 	}
 	for _, id := range w.ids() {
 		r := w.pool.Runner(id).Runner
 		r.Born = 0
-		core.ListRunner(r, w.now)
+		core.RunnerListed(r, w.now)
 	}
 	w.core = core
 	clear(w.held)
@@ -192,7 +192,7 @@
 // kill ends the scheduler; its orders on the way may still arrive.
 func (w *world) kill() {
 	if w.core != nil {
-		w.learned = w.core.Learned()
+		w.learned = w.core.LearnedSpeeds()
 	}
 	w.core = nil
 }
@@ -252,7 +252,7 @@
 			if _, seen := w.ended[r.Job]; !seen && r.Progress.State == batch.Completed {
 				w.ended[r.Job] = w.now
 			}
-			core.Committed(r.Job, r.Version, w.now)
+			core.RecordCommitted(r.Job, r.Version, w.now)
 		})
 	}
 }
@@ -261,7 +261,7 @@
 
 func (w *world) hold(id string) {
 	core := w.core
-	acknowledged := core.Acknowledged(id)
+	acknowledged := core.AcknowledgedEnd(id)
 	if w.hasty {
 		acknowledged = 1 << 40
 	}
@@ -270,12 +270,12 @@
 		return
 	}
 	w.held[id] = w.now
-	extend := core.MayExtend(id, w.now)
+	extend := core.MayExtendLease(id, w.now)
 	if extend {
-		core.Extend(id, w.now.Add(worldBound)) // whether it arrives or not
+		core.NoteLeaseExtension(id, w.now.Add(worldBound)) // whether it arrives or not
 	}
 	if !w.reachable(id) {
-		core.Unreachable(id, false, w.now)
+		core.RunnerUnreachable(id, false, w.now)
 		return
 	}
 	r := w.pool.Runner(id)
@@ -285,11 +285,11 @@
 	}
 	report, answer := w.pool.Hold(w.now, id, dispatch.HoldOrder{Token: w.token, Acknowledged: acknowledged, Deadline: deadline})
 	if answer != dispatch.Accepted {
-		core.Unreachable(id, false, w.now)
+		core.RunnerUnreachable(id, false, w.now)
 		return
 	}
 	w.noteAcknowledged()
-	core.Report(id, w.now, report, w.now)
+	core.HandleReport(id, w.now, report, w.now)
 }
 
 func (w *world) noteAcknowledged() {
@@ -326,7 +326,7 @@
 			silent, late = true, 2*time.Second+time.Duration(w.rng.Int64N(int64(8*time.Second)))
 		}
 	}
-	core.Extend(o.Runner.ID, w.now.Add(worldBound))
+	core.NoteLeaseExtension(o.Runner.ID, w.now.Add(worldBound))
 	carry := w.carry(o, token)
 	w.after(worldTick+late, func() {
 		answer := dispatch.Unanswered
@@ -334,7 +334,7 @@
 			answer = carry()
 		}
 		if !silent && answer != dispatch.Unanswered && w.core == core {
-			core.Answered(o, translate(answer), w.now)
+			core.HandleAnswer(o, translate(answer), w.now)
 		}
 		silent = silent || answer == dispatch.Unanswered
 	})
@@ -347,10 +347,10 @@
 
 func (w *world) unanswered(core *scheduler.Core, o scheduler.Order) {
 	if o.Kind == scheduler.StartRun {
-		core.Answered(o, scheduler.Unknown, w.now)
+		core.HandleAnswer(o, scheduler.OutcomeUnknown, w.now)
 		return
 	}
-	if core.Needed(o.Runner.ID) {
+	if core.RunnerNeeded(o.Runner.ID) {
 		w.send(o)
 	}
 }
@@ -378,7 +378,7 @@
 	if a == dispatch.Accepted {
 		return scheduler.Accepted
 	}
-	return scheduler.NotDone
+	return scheduler.NotExecuted
 }
 
 // checkStart holds each start against what must always hold.
