--- a/batch/scheduler/advice_test.go
+++ b/batch/scheduler/advice_test.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	adviceTakes = 60 * time.Millisecond
-	adviceValid = 3 * time.Second
+	adviceDuration = 60 * time.Millisecond
+	adviceValidity = 3 * time.Second
 )
 
-// adviser is the stand-in of the service that says which runners may run a step.
+// adviser is a stand-in for the service that says which runners may run a step.
 type adviser struct {
 	approves    func(runner string) bool
 	unavailable bool
 
 	busy            bool
 	questions       int
-	largestQuestion int // runners in the largest question
+	largestQuestion int // number of runners in the largest question
 	refused         int // starts without a valid ticket
 	issued          map[string]steady.Time
 }
 
-// askAdviser asks the adviser as the driver does: one question at a time.
+// askAdviser asks the adviser as the leader does: one question at a time.
 func (w *world) askAdviser() {
 	if w.adviser == nil || w.adviser.busy {
 		return
@@ -42,7 +42,7 @@
 	a.busy = true
 	a.questions++
 	a.largestQuestion = max(a.largestQuestion, len(q.Runners))
-	w.after(adviceTakes, func() {
+	w.after(adviceDuration, func() {
 		a.busy = false
 		if w.core != core {
 			return
@@ -56,7 +56,7 @@
 }
 
 func (a *adviser) answer(now steady.Time, job string, step int, runners []string) batch.Approval {
-	out := batch.Approval{Tickets: make(map[string]string), Valid: adviceValid}
+	out := batch.Approval{Tickets: make(map[string]string), Valid: adviceValidity}
 	for _, id := range runners {
 		if a.approves(id) {
 			ticket := fmt.Sprintf("%s/%d/%s/%d", job, step, id, now)
@@ -67,13 +67,13 @@
 	return out
 }
 
-// permits is the runners' check of a start.
+// permits is the check that runners make of a start.
 func (w *world) permits(now steady.Time, _ string, o dispatch.StartOrder) bool {
 	if w.adviser == nil || w.jobs[o.Task.Job].Advice == nil {
 		return true
 	}
 	issued, known := w.adviser.issued[o.Ticket]
-	if !known || now.Sub(issued) > adviceValid {
+	if !known || now.Sub(issued) > adviceValidity {
 		w.adviser.refused++
 		return false
 	}
@@ -90,11 +90,11 @@
 }
 
 func advisedJob(id string, step batch.Step) batch.Job {
-	return batch.Job{ID: id, Priority: 1, Steps: []batch.Step{step}, Advice: &batch.Advice{Decide: adviceTakes, Each: 2 * time.Millisecond, Valid: adviceValid}}
+	return batch.Job{ID: id, Priority: 1, Steps: []batch.Step{step}, Advice: &batch.Advice{Decide: adviceDuration, Each: 2 * time.Millisecond, Valid: adviceValidity}}
 }
 
 // A step runs only on runners that the adviser approves, and each start carries
-// its ticket. Tasks that outlast a ticket's life get new ones.
+// its ticket. Tasks that are still waiting when a ticket expires get new ones.
 func TestAdvisedStepsRunOnlyOnApprovedRunners(t *testing.T) {
 	w := advisedWorld(t, func(id string) bool { return id == "r0-1" || id == "r3-2" })
 	step := batch.Step{Tasks: 40, Estimate: 2 * time.Second, Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1}}
@@ -115,8 +115,9 @@
 	must.LessEq(t, 16, w.adviser.questions)
 }
 
-// Without an answer nothing starts, the adviser isn't pressed, and the work
-// begins once it answers. Other jobs don't wait for it.
+// Without an answer from the adviser no advised job starts, questions are
+// retried at a limited rate, and the work begins once the adviser answers.
+// Other jobs don't wait for it.
 func TestUnavailableAdviserDelaysOnlyAdvisedJobs(t *testing.T) {
 	w := advisedWorld(t, func(string) bool { return true })
 	w.adviser.unavailable = true
@@ -134,13 +135,13 @@
 // A step that no runner may run is asked about once for each runner.
 func TestAdviserIsAskedOnceAboutRefusedRunners(t *testing.T) {
 	w := advisedWorld(t, func(string) bool { return false })
-	w.submit(advisedJob("barred", gang(1, 1, time.Second)), time.Second, false)
+	w.submit(advisedJob("refused", gang(1, 1, time.Second)), time.Second, false)
 	w.run(20 * time.Second)
 	must.Eq(t, 2, w.adviser.questions) // 48 runners, 30 in a question
 	must.Eq(t, 0, w.starts)
 }
 
-// A ticket is for one incarnation of its runner.
+// A ticket is valid for one incarnation of its runner only.
 func TestTicketIsInvalidAfterRunnerRestart(t *testing.T) {
 	w := advisedWorld(t, func(id string) bool { return id == "r0-0" })
 	w.submit(advisedJob("steps", batch.Step{Tasks: 24, Estimate: time.Second, Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1}}), time.Second, false)
--- a/batch/scheduler/core.go
+++ b/batch/scheduler/core.go
@@ -9,7 +9,8 @@
 //
 // A start is issued only after the record that names it was committed, and an
 // end is acknowledged to its runner only after it is in a committed record. The
-// next scheduler therefore knows every run that may exist.
+// records therefore name every run that may exist when the next scheduler
+// starts.
 package scheduler
 
 import (
--- a/batch/scheduler/decide_test.go
+++ b/batch/scheduler/decide_test.go
@@ -27,7 +27,7 @@
 }
 
 // A gang that fits no rack waits for a place near its data for a while. A new
-// scheduler goes on from the wait that its job has behind it.
+// scheduler counts that wait from the job's acceptance, not from its own start.
 func TestWaitCountsFromAcceptanceAfterATakeover(t *testing.T) {
 	w := faultFreeWorld(t, 2, 3)
 	step := gang(4, 8, 20*time.Second)
@@ -48,7 +48,7 @@
 }
 
 // An urgent gang within its organisation's guarantee starts in time although
-// others hold everything, however much work that throws away.
+// others hold all capacity, however much work the preemption throws away.
 func TestGuaranteeIsReclaimedInTime(t *testing.T) {
 	w := faultFreeWorld(t, 2, 3)
 	for i := range 6 {
@@ -70,7 +70,8 @@
 	return 0
 }
 
-// Beyond the guarantee, long unsaved work is not thrown away for a short job.
+// Beyond the guarantee, preemption doesn't throw away long unsaved work for a
+// short job.
 func TestPreemptionIsBoundedByLostWork(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	for i := range 2 {
@@ -86,9 +87,9 @@
 	must.Eq(t, batch.Completed, w.state("short"))
 }
 
-// Runners differ in speed. Members that wait for a slower one at a hundred
-// percent must not make their runners look slow: urgent work then ran on truly
-// slow ones.
+// Urgent gangs run on the runners that were learned to be fast. Guards against
+// a fault in which members that waited at a hundred percent for a slower one
+// made their runners look slow, so that urgent work ran on slow runners.
 func TestUrgentWorkRunsOnRunnersLearnedToBeFast(t *testing.T) {
 	w := faultFreeWorld(t, 2, 6)
 	learnSpeeds(w)
@@ -100,7 +101,8 @@
 	}
 }
 
-// learnSpeeds plays gangs that span fast and slow runners until their speeds are known.
+// learnSpeeds runs gangs that span fast and slow runners until their speeds are
+// learned.
 func learnSpeeds(w *world) {
 	for i := range 12 {
 		w.submit(batch.Job{ID: fmt.Sprintf("learn%02d", i), Priority: 1, Steps: []batch.Step{gang(6, 8, 2*time.Second)}}, 2*time.Second, false)
@@ -109,8 +111,8 @@
 	w.run(20 * time.Second)
 }
 
-// What was learned of the runners' speeds outlives the scheduler: after a
-// takeover urgent work ran on slow runners until they were known again.
+// Learned speeds are passed on to the next scheduler. Without that, urgent work
+// ran on slow runners after a takeover until the speeds were learned again.
 func TestLearnedSpeedsSurviveTakeover(t *testing.T) {
 	w := faultFreeWorld(t, 2, 6)
 	learnSpeeds(w)
@@ -126,8 +128,9 @@
 	}
 }
 
-// On a heavy day what is free, and what is cheapest to free, is on the slow
-// runners. Other work makes way on a fast one for an urgent job that would be late.
+// Under heavy load the capacity that is free, or cheapest to free, is on the
+// slow runners. An urgent job that would be late there preempts other work on a
+// fast runner.
 func TestUrgentWorkPreemptsOnFastRunners(t *testing.T) {
 	for name, onSlow := range map[string]int{"slow runners are free": 0, "nothing is free": 16} {
 		t.Run(name, func(t *testing.T) {
@@ -136,10 +139,10 @@
 			w.learned = knownSpeeds()
 			w.startScheduler()
 			w.run(8 * time.Second)
-			w.submit(plainJob("others", 32, false), 40*time.Second, false)
+			w.submit(singleTaskJob("others", 32, false), 40*time.Second, false)
 			w.run(6 * time.Second)
 			if onSlow > 0 {
-				w.submit(plainJob("resumable", onSlow, true), 40*time.Second, false)
+				w.submit(singleTaskJob("resumable", onSlow, true), 40*time.Second, false)
 				w.run(time.Second)
 			}
 			must.Eq(t, onSlow, w.pool.Runner("r0-2").Running()+w.pool.Runner("r0-5").Running())
@@ -152,23 +155,24 @@
 	}
 }
 
-// plainJob is one of single tasks of 40 s for which slow runners are too slow.
-func plainJob(id string, tasks int, resumable bool) batch.Job {
+// singleTaskJob returns a job of single tasks of 40 s for which slow runners
+// are too slow.
+func singleTaskJob(id string, tasks int, resumable bool) batch.Job {
 	return batch.Job{ID: id, Priority: 2, Stretch: 2, Steps: []batch.Step{{
 		Tasks: tasks, Checkpoints: resumable, Estimate: 40 * time.Second,
 		Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1},
 	}}}
 }
 
-// Single tasks that are urgent get their room at the same time, not one after
+// Urgent single tasks get their capacity in the same decision, not one after
 // the other: a guarantee of many accelerators is due back within 3 s.
 func TestUrgentTasksPreemptInOneDecision(t *testing.T) {
 	w := faultFreeWorld(t, 1, 6)
-	w.submit(plainJob("others", 48, true), 40*time.Second, false)
+	w.submit(singleTaskJob("others", 48, true), 40*time.Second, false)
 	w.run(3 * time.Second)
 	urgent := batch.Step{Tasks: 5, Estimate: 3 * time.Second, Request: batch.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 8}}
 	w.submit(batch.Job{ID: "urgent", Stretch: 1.5, TargetLatency: 250 * time.Millisecond, Steps: []batch.Step{urgent}}, 3*time.Second, false)
-	w.run(3 * worldTick) // a decision, and the stops' way
+	w.run(3 * worldTick) // a decision, and the delivery of the stops
 	must.Eq(t, 8, total(w.runsOf("others")))
 	w.run(700 * time.Millisecond)
 	must.Eq(t, 5, total(w.runsOf("urgent")))
@@ -182,7 +186,7 @@
 	return known
 }
 
-// A task that makes no progress on a hanging runner is moved.
+// A task without progress on a hanging runner is moved to another one.
 func TestStalledWorkIsMoved(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	w.pool.Runner("r0-0").Hangs = true
@@ -199,28 +203,29 @@
 	must.Eq(t, batch.Completed, w.state("stuck"))
 }
 
-// A step starts after the steps before it; a timed job at its times; a job that
-// fails for good is shown as failed after its attempts and no more are made.
+// A step starts after the steps before it, and a scheduled job at its times. A
+// job whose tasks fail ends as failed after its maximum number of attempts.
 func TestStepOrderScheduleAndMaxAttempts(t *testing.T) {
 	w := faultFreeWorld(t, 1, 3)
 	second := gang(2, 2, time.Second)
 	second.After = []int{0}
 	w.submit(batch.Job{ID: "steps", Priority: 1, Steps: []batch.Step{gang(2, 2, time.Second), second}}, time.Second, false)
-	w.submit(batch.Job{ID: "hopeless", Priority: 1, MaxAttempts: 2, Steps: []batch.Step{gang(2, 2, time.Second)}}, time.Second, true)
+	w.submit(batch.Job{ID: "failing", Priority: 1, MaxAttempts: 2, Steps: []batch.Step{gang(2, 2, time.Second)}}, time.Second, true)
 	w.submit(batch.Job{ID: "timed", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}, Schedule: &batch.Schedule{
 		Occurrences: 3, First: time.Unix(0, int64(w.now)).Add(4 * time.Second), Interval: 2 * time.Second,
 	}}, time.Second, false)
 	w.run(30 * time.Second)
 	must.Eq(t, batch.Completed, w.state("steps"))
-	must.Eq(t, batch.Failed, w.state("hopeless"))
+	must.Eq(t, batch.Failed, w.state("failing"))
 	must.Eq(t, batch.Completed, w.state("timed"))
-	for _, row := range w.store["hopeless"].Tasks {
+	for _, row := range w.store["failing"].Tasks {
 		must.Eq(t, 2, row.Failures)
 	}
 }
 
-// Nothing starts on a runner that is leaving or in an evacuated failure domain,
-// without the label that a step asks for, or beyond its spread limit.
+// Nothing starts on a draining runner, in an evacuated failure domain, on a
+// runner without the label that the step requires, or beyond the step's limit
+// per runner.
 func TestPlacementFilters(t *testing.T) {
 	w := faultFreeWorld(t, 2, 2)
 	w.core.SetEvacuated(map[string]bool{"fd0": true})
@@ -238,7 +243,8 @@
 	must.Eq(t, batch.State(""), w.state("labelled"))
 }
 
-// Without the store nothing starts: the next scheduler would not know of it.
+// Nothing starts while the store is down, because the next scheduler would not
+// know of the run.
 func TestNothingStartsBeforeItsRecordIsCommitted(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	w.storeDown = true
@@ -250,8 +256,8 @@
 	must.Eq(t, batch.Completed, w.state("new"))
 }
 
-// An end that could not be recorded stays with its runner, so the next
-// scheduler learns of it and does not run the task again.
+// An end that could not be recorded stays unacknowledged at its runner, so the
+// next scheduler receives it and does not run the task again.
 func TestUnrecordedEndSurvivesTakeover(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	w.submit(batch.Job{ID: "filing", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}}, time.Second, false)
@@ -267,7 +273,8 @@
 	must.Eq(t, 1, w.starts)
 }
 
-// Many equal tasks are placed in one decision, each where there is room left.
+// Many equal tasks are placed in one decision, and no runner gets more than it
+// has room for.
 func TestManyEqualTasksInOneDecision(t *testing.T) {
 	w := faultFreeWorld(t, 4, 6)
 	w.submit(batch.Job{ID: "wide", Priority: 1, Steps: []batch.Step{
--- a/batch/scheduler/explore_test.go
+++ b/batch/scheduler/explore_test.go
@@ -13,7 +13,7 @@
 	"github.com/cyclamentray/cyclamentray/batch"
 )
 
-// faultAction is one thing that may happen in a second of the explored day.
+// faultAction is one action that may happen at the start of a simulated second.
 type faultAction struct {
 	name string
 	do   func(w *world)
@@ -27,10 +27,10 @@
 	}},
 	{"lose next order", func(w *world) { w.nextFaults = append(w.nextFaults, orderFault{lost: true, answerLost: true}) }},
 	{"lose next answer", func(w *world) { w.nextFaults = append(w.nextFaults, orderFault{answerLost: true}) }},
-	{"carry next order out late", func(w *world) {
+	{"deliver next order late", func(w *world) {
 		w.nextFaults = append(w.nextFaults, orderFault{answerLost: true, delay: 5 * time.Second})
 	}},
-	{"cut runner off", func(w *world) { w.unreachableUntil[w.busiest()] = w.now.Add(4 * time.Second) }},
+	{"make runner unreachable", func(w *world) { w.unreachableUntil[w.busiest()] = w.now.Add(4 * time.Second) }},
 	{"restart runner", func(w *world) {
 		id := w.busiest()
 		w.pool.Crash(w.now, id)
@@ -38,23 +38,26 @@
 	}},
 }
 
-// busiest returns the runner that runs most.
+// busiest returns the runner with the most running tasks.
 func (w *world) busiest() string {
 	return slices.MaxFunc(w.ids(), func(a, b string) int {
 		return w.pool.Runner(a).Running() - w.pool.Runner(b).Running()
 	})
 }
 
-const exploredSeconds = 4 // with one move at the start of each
+// sequenceLength is the number of seconds in a sequence, with one action at the
+// start of each.
+const sequenceLength = 4
 
-// explore plays every sequence of moves and returns how many there were and the
-// first that broke a rule or left the job undone.
-func explore(t *testing.T, plant func(*world)) (played int, broken string) {
+// explore runs every sequence of fault actions. It returns their number and the
+// first failure in alphabetical order: a violated rule, or a job that is not
+// done at the end.
+func explore(t *testing.T, inject func(*world)) (sequences int, failure string) {
 	var count atomic.Int64
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	total := 1
-	for range exploredSeconds {
+	for range sequenceLength {
 		total *= len(faultActions)
 	}
 	workers := make(chan struct{}, 4)
@@ -63,29 +66,29 @@
 		group.Go(func() {
 			defer func() { <-workers }()
 			count.Add(1)
-			if found := playSequence(t, n, plant); found != "" {
+			if found := runSequence(t, n, inject); found != "" {
 				mu.Lock()
 				defer mu.Unlock()
-				if broken == "" || found < broken {
-					broken = found
+				if failure == "" || found < failure {
+					failure = found
 				}
 			}
 		})
 	}
 	group.Wait()
-	return int(count.Load()), broken
+	return int(count.Load()), failure
 }
 
-func playSequence(t *testing.T, n int, plant func(*world)) string {
+func runSequence(t *testing.T, n int, inject func(*world)) string {
 	w := newWorld(t, 1, faults{})
 	w.collectViolations = true
-	plant(w)
+	inject(w)
 	w.addRunners(1, 2)
 	w.startScheduler()
 	w.run(1100 * time.Millisecond)
 	w.submit(batch.Job{ID: "filing", Priority: 1, Steps: []batch.Step{gang(1, 1, 6*time.Second)}}, 6*time.Second, false)
 	names := ""
-	for range exploredSeconds {
+	for range sequenceLength {
 		m := faultActions[n%len(faultActions)]
 		n /= len(faultActions)
 		names += m.name + "; "
@@ -102,25 +105,27 @@
 	return ""
 }
 
-// Every sequence of four moves around one filing: kills, lost and late orders,
-// cuts and restarts. It runs once at a time, never after its recorded end, and
-// is done in the end.
+// Runs every sequence of four fault actions around one job: killed schedulers,
+// lost and late orders, unreachable and restarted runners. The job's task never
+// runs twice at the same time or after its recorded end, and is done in the
+// end.
 func TestJobRunsOnceUnderEveryFaultSequence(t *testing.T) {
-	played, broken := explore(t, func(*world) {})
-	t.Logf("%d sequences played", played)
-	must.Eq(t, "", broken)
+	sequences, failure := explore(t, func(*world) {})
+	t.Logf("%d sequences run", sequences)
+	must.Eq(t, "", failure)
 }
 
-// The same search finds what is planted.
+// The same search detects faults that are injected into the scheduler and its
+// caller.
 func TestExplorationDetectsInjectedFaults(t *testing.T) {
-	for name, plant := range map[string]func(*world){
+	for name, inject := range map[string]func(*world){
 		"a new scheduler doesn't wait for leases it inherits": func(w *world) { w.skipInheritedWait = true },
 		"ends are acknowledged before they are recorded":      func(w *world) { w.acknowledgeUnrecorded = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, broken := explore(t, plant)
-			t.Log(broken)
-			must.NotEq(t, "", broken)
+			_, failure := explore(t, inject)
+			t.Log(failure)
+			must.NotEq(t, "", failure)
 		})
 	}
 }
--- a/batch/scheduler/load_test.go
+++ b/batch/scheduler/load_test.go
@@ -17,7 +17,7 @@
 	name          string
 	priority      int
 	jobsPerSecond float64
-	burst         float64 // times as many between the tenth and the sixteenth second
+	burst         float64 // factor of the rate between the tenth and the sixteenth second
 	tasks         int
 	sizes         []int64 // accelerators of a task
 	work          time.Duration
@@ -27,20 +27,21 @@
 	latency       time.Duration
 }
 
-// The rates are those of a heaviest day for half as many runners: urgent work
-// doubles for six seconds.
+// heavyDay has the rates of a heaviest day for half as many runners: urgent
+// work doubles for six seconds.
 var heavyDay = []class{
 	{name: "urgent", priority: 0, jobsPerSecond: 1.3, burst: 2, tasks: 3, sizes: []int64{1, 2, 4, 8, 8}, work: 2500 * time.Millisecond, gang: true, stretch: 1.5, latency: 250 * time.Millisecond},
 	{name: "large", priority: 1, jobsPerSecond: 0.4, burst: 1, tasks: 4, sizes: []int64{1, 2, 4, 8, 8}, work: 8500 * time.Millisecond, gang: true, stretch: 3, latency: time.Second},
 	{name: "plain", priority: 2, jobsPerSecond: 0.3, burst: 1, tasks: 12, sizes: []int64{1}, work: 9500 * time.Millisecond, checkpoints: true, stretch: 3, latency: 3 * time.Second},
 }
 
-type served struct{ jobs, inTime, done int }
+type classResult struct{ jobs, inTime, done int }
 
-// playHeavyDay returns what the callers of each class got.
-func playHeavyDay(t *testing.T, seed uint64, plain bool) map[string]*served {
+// simulateHeavyDay returns the results of each class. firstFit selects the
+// baseline scheduler.
+func simulateHeavyDay(t *testing.T, seed uint64, firstFit bool) map[string]*classResult {
 	w := newWorld(t, seed, faults{})
-	w.firstFit = plain
+	w.firstFit = firstFit
 	w.addRunners(4, 6)
 	w.startScheduler()
 	w.run(1500 * time.Millisecond)
@@ -65,9 +66,9 @@
 		w.run(100 * time.Millisecond)
 	}
 	w.run(90 * time.Second)
-	out := make(map[string]*served)
+	out := make(map[string]*classResult)
 	for _, c := range heavyDay {
-		out[c.name] = &served{}
+		out[c.name] = &classResult{}
 	}
 	for id, name := range classOf {
 		out[name].jobs++
@@ -94,27 +95,27 @@
 }
 
 // On the users' heaviest days two thirds of what was lost was urgent work that
-// came late. With order, preemption and learned speeds more urgent jobs are in
-// time than with first-fit in order of arrival, no other class gets less, and
-// every job is still done.
+// came late. With the queue order, preemption and learned speeds more urgent
+// jobs are in time than with first-fit in order of arrival, no other class has
+// fewer jobs in time, and every job is still done.
 func TestUrgentBurstIsServedInTime(t *testing.T) {
-	sum := map[bool]map[string]*served{true: {}, false: {}}
-	for _, plain := range []bool{true, false} {
+	sum := map[bool]map[string]*classResult{true: {}, false: {}}
+	for _, firstFit := range []bool{true, false} {
 		for _, c := range heavyDay {
-			sum[plain][c.name] = &served{}
+			sum[firstFit][c.name] = &classResult{}
 		}
 		for seed := range uint64(4) {
-			for name, s := range playHeavyDay(t, seed, plain) {
-				total := sum[plain][name]
+			for name, s := range simulateHeavyDay(t, seed, firstFit) {
+				total := sum[firstFit][name]
 				total.jobs, total.inTime, total.done = total.jobs+s.jobs, total.inTime+s.inTime, total.done+s.done
 			}
 		}
 	}
 	for _, c := range heavyDay {
-		first, ours := sum[true][c.name], sum[false][c.name]
-		t.Logf("%s: first-fit %+v, ours %+v", c.name, *first, *ours)
-		must.Eq(t, ours.jobs, ours.done, must.Sprint(c.name))
-		must.GreaterEq(t, first.inTime, ours.inTime, must.Sprint(c.name))
+		baseline, full := sum[true][c.name], sum[false][c.name]
+		t.Logf("%s: first-fit %+v, full scheduler %+v", c.name, *baseline, *full)
+		must.Eq(t, full.jobs, full.done, must.Sprint(c.name))
+		must.GreaterEq(t, baseline.inTime, full.inTime, must.Sprint(c.name))
 	}
 	must.Greater(t, sum[true]["urgent"].inTime, sum[false]["urgent"].inTime)
 }
--- a/batch/scheduler/longrunning_test.go
+++ b/batch/scheduler/longrunning_test.go
@@ -38,8 +38,8 @@
 	return out
 }
 
-// Fillers take the CPU that others leave, so it isn't counted, but never beside
-// a task that serves users, whichever comes first.
+// Fillers use the CPU that others leave, so their CPU isn't counted. They are
+// never placed beside a task that serves users, whichever of them starts first.
 func TestFillersAreNotPlacedBesideServingTasks(t *testing.T) {
 	for _, servingFirst := range []bool{true, false} {
 		w := faultFreeWorld(t, 1, 6)
@@ -74,26 +74,26 @@
 	return sum
 }
 
-// A task that lasts gets a place within its 6 s although the service is full,
-// stops nothing urgent for it, and is started again however it ends.
+// A long-running task gets a place within its 6 s although the service is full,
+// preempts nothing urgent for it, and is started again however it ends.
 func TestLongRunningTaskRestartsWithin6s(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	w.submit(batch.Job{ID: "urgent", Stretch: 1.5, Steps: []batch.Step{accelerated(8, 1)}}, time.Minute, false)
 	w.run(time.Second)
 	for i := range 8 {
-		w.submit(batch.Job{ID: fmt.Sprintf("ends%d", i), Priority: 1, Steps: []batch.Step{accelerated(1, 1)}}, time.Minute, false)
+		w.submit(batch.Job{ID: fmt.Sprintf("finite%d", i), Priority: 1, Steps: []batch.Step{accelerated(1, 1)}}, time.Minute, false)
 	}
 	w.run(time.Second)
-	w.submit(batch.Job{ID: "lasting", Priority: 2, MaxAttempts: 2, Steps: []batch.Step{servingStep(1)}}, 4*time.Second, true)
+	w.submit(batch.Job{ID: "long-running", Priority: 2, MaxAttempts: 2, Steps: []batch.Step{servingStep(1)}}, 4*time.Second, true)
 	away := time.Duration(0)
 	for range 600 {
 		w.run(50 * time.Millisecond)
 		away += 50 * time.Millisecond
-		if total(w.runsOf("lasting")) > 0 {
+		if total(w.runsOf("long-running")) > 0 {
 			away = 0
 		}
 		must.Less(t, 6*time.Second, away)
 	}
 	must.Eq(t, 8, total(w.runsOf("urgent")))
-	must.Eq(t, batch.Running, w.state("lasting"))
+	must.Eq(t, batch.Running, w.state("long-running"))
 }
--- a/batch/scheduler/preempt.go
+++ b/batch/scheduler/preempt.go
@@ -140,7 +140,7 @@
 func (c *Core) wasteAllowed(u *unit, now steady.Time) float64 {
 	waited := now.Sub(u.eligibleSince)
 	if u.spec().LongRunning {
-		return math.Inf(1) // it serves nobody while it does not run
+		return math.Inf(1) // it serves no users while it is not running
 	}
 	if waited >= guaranteeReclaimDelay && c.withinGuarantee(u.job) {
 		return math.Inf(1)
--- a/batch/scheduler/random_test.go
+++ b/batch/scheduler/random_test.go
@@ -13,9 +13,10 @@
 
 const randomSeeds = 60
 
-// Schedulers are killed, runners crash, restart and are cut off, and orders and
-// answers get lost or late. No task runs twice, none starts before its turn or
-// after its recorded end, and everything ends once the faults are over.
+// Schedulers are killed, runners crash, restart and become unreachable, and
+// orders and answers get lost or late. No task runs twice at the same time,
+// none starts before its turn or after its recorded end, and every job ends
+// once the faults are over.
 func TestNothingRunsTwiceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -24,7 +25,7 @@
 			w.addRunners(4, 3)
 			w.startScheduler()
 			rng := rand.New(rand.NewPCG(seed, 2))
-			cancelled := randomDay(w, rng)
+			cancelled := runRandomFaults(w, rng)
 			w.faults.lost = 0
 			if w.core == nil {
 				w.startScheduler()
@@ -42,7 +43,7 @@
 	}
 }
 
-func randomDay(w *world, rng *rand.Rand) map[string]bool {
+func runRandomFaults(w *world, rng *rand.Rand) map[string]bool {
 	cancelled := make(map[string]bool)
 	ids := w.ids()
 	for second := range 40 {
--- a/batch/scheduler/runner.go
+++ b/batch/scheduler/runner.go
@@ -118,7 +118,7 @@
 
 // leaseExtendGrace is how long beyond the maximum report age a runner's lease
 // is still extended. A hold without an answer may have been carried out, so a
-// runner that is gone for good would otherwise seem to hold its tasks forever.
+// runner that never returns would otherwise seem to hold its tasks forever.
 const leaseExtendGrace = 300 * time.Millisecond
 
 // SetMaxReportAge sets the greatest age of a runner's last report at which it
--- a/batch/scheduler/speeds_test.go
+++ b/batch/scheduler/speeds_test.go
@@ -21,8 +21,9 @@
 	c.handleProgress(r, batch.RunningTask{Percent: percent}, speedsStart.Add(after))
 }
 
-// A member that has done its part waits at a hundred percent for the others.
-// Reports then, and reports close to each other, tell nothing of its runner.
+// A gang member that is done waits at a hundred percent for the others. Reports
+// from then on, and reports close to each other, don't change its pace or its
+// runner's speed.
 func TestPaceIsMeasuredOnlyWhileATaskProgresses(t *testing.T) {
 	c := New(Options{})
 	fast := memberOn("fast", 2*time.Second)
@@ -35,7 +36,8 @@
 	must.Between(t, 0.8, c.speeds.timeFactor("fast"), 1.25)
 }
 
-// Members of one gang have equal work, so their paces tell the runners apart.
+// The members of a gang have equal work, so their paces give the relative
+// speeds of their runners.
 func TestGangMemberPacesGiveRunnerSpeeds(t *testing.T) {
 	c := New(Options{})
 	for range 4 {
@@ -48,7 +50,8 @@
 	must.InDelta(t, 40.0/15, ratio, 0.4)
 }
 
-// A runner that turns slow while it works is known to be slow at once.
+// A runner that slows down during a run is estimated as slow at the next
+// measurement.
 func TestPaceChangeUpdatesRunnerSpeed(t *testing.T) {
 	c := New(Options{})
 	r := memberOn("r", 10*time.Second)
@@ -59,22 +62,23 @@
 	must.Between(t, 4, c.speeds.timeFactor("r")/before, 8)
 }
 
-// A gang that is started again goes on from the member that had come furthest.
+// A gang that is started again continues from the checkpoint of the member that
+// had progressed furthest.
 func TestGangKeepsItsFurthestCheckpoint(t *testing.T) {
 	c := New(Options{})
 	slow, fast := memberOn("slow", 4*time.Second), memberOn("fast", 4*time.Second)
 	fast.unit = slow.unit
-	tell := func(r *run, percent int, checkpoint string) {
+	progress := func(r *run, percent int, checkpoint string) {
 		c.handleProgress(r, batch.RunningTask{Percent: percent, Checkpoint: checkpoint}, speedsStart.Add(time.Second))
 	}
-	tell(slow, 30, "at-30")
-	tell(fast, 70, "at-70")
-	tell(slow, 40, "at-40")
+	progress(slow, 30, "at-30")
+	progress(fast, 70, "at-70")
+	progress(slow, 40, "at-40")
 	must.Eq(t, "at-70", slow.unit.checkpoint)
-	tell(fast, 90, "at-90")
-	tell(slow, 50, "")
+	progress(fast, 90, "at-90")
+	progress(slow, 50, "")
 	must.Eq(t, "at-90", slow.unit.checkpoint)
 	slow.attempt = 2 // the next attempt counts its percents anew
-	tell(slow, 10, "at-95")
+	progress(slow, 10, "at-95")
 	must.Eq(t, "at-95", slow.unit.checkpoint)
 }
--- a/batch/scheduler/world_test.go
+++ b/batch/scheduler/world_test.go
@@ -26,34 +26,35 @@
 	answerTimeout    = 1200 * time.Millisecond
 )
 
-// world runs the core against stand-in runners in virtual time. Its driver
-// loses and delays orders, and schedulers, runners and links fail.
+// world runs the core against stand-in runners in virtual time. It takes the
+// place of the leader in batch/dispatch, loses and delays orders, and makes
+// schedulers, runners and connections fail.
 type world struct {
 	t                testing.TB
 	rng              *rand.Rand
 	now              steady.Time
 	pool             *runner.Pool
-	core             *scheduler.Core // nil: nobody schedules
+	core             *scheduler.Core // nil: no scheduler is active
 	token            uint64
 	jobs             map[string]*batch.Job
 	stepTasks        map[string]runner.Task // by job and step
 	store            map[string]batch.Progress
 	events           []event
-	unreachableUntil map[string]steady.Time // runners that can't be reached, until when
-	lastHold         map[string]steady.Time
+	unreachableUntil map[string]steady.Time // by runner
+	lastHold         map[string]steady.Time // by runner
 	faults           faults
-	runnerIDs        []string // runners' ids
+	runnerIDs        []string // in the order in which they were added
 
-	storeDown bool         // records are not committed
+	storeDown bool         // records can't be committed
 	learned   batch.Speeds // by the last scheduler that was killed
 	firstFit  bool         // the scheduler is the baseline
 
 	adviser *adviser // nil: no step needs advice
 
-	collectViolations     bool // violations don't end the test
+	collectViolations     bool // violations are collected and don't end the test
 	violations            []string
-	skipInheritedWait     bool // planted: a new scheduler doesn't wait for what it inherits
-	acknowledgeUnrecorded bool // planted: ends are acknowledged before they are recorded
+	skipInheritedWait     bool // injected fault: a new scheduler doesn't wait for the leases that it inherits
+	acknowledgeUnrecorded bool // injected fault: ends are acknowledged before they are recorded
 	nextFaults            []orderFault
 
 	completedAt map[string]steady.Time       // when a job's record first showed it completed
@@ -63,10 +64,10 @@
 }
 
 type faults struct {
-	lost float64 // share of orders that get lost, their answer lost, or carried out late
+	lost float64 // share of orders that are lost, whose answer is lost, or that are delivered late
 }
 
-// orderFault is what happens to the next order.
+// orderFault is the fault of one order.
 type orderFault struct {
 	lost, answerLost bool
 	delay            time.Duration
@@ -96,7 +97,7 @@
 
 func stepName(job string, step int) string { return fmt.Sprintf("%s/%d", job, step) }
 
-// addRunnerID returns a runner's id and keeps it in the fleet's order.
+// addRunnerID returns the id of a new runner and adds it to runnerIDs.
 func (w *world) addRunnerID(rack, i int) string {
 	id := fmt.Sprintf("r%d-%d", rack, i)
 	w.runnerIDs = append(w.runnerIDs, id)
@@ -119,7 +120,8 @@
 
 func (w *world) ids() []string { return w.runnerIDs }
 
-// submit adds a job whose tasks take the work that is given for each step.
+// submit adds a job whose tasks each take the given work and, with fails, then
+// fail.
 func (w *world) submit(j batch.Job, work time.Duration, fails bool) {
 	j.Service, j.Accepted = "s", time.Unix(0, int64(w.now))
 	if j.MaxAttempts == 0 {
@@ -151,7 +153,7 @@
 	}
 }
 
-// startScheduler starts a new scheduler from what is recorded.
+// startScheduler starts a new scheduler from the recorded state.
 func (w *world) startScheduler() {
 	w.token++
 	core := scheduler.New(scheduler.Options{FirstFit: w.firstFit, RemoteFactor: 3, InheritedLeaseEnd: w.inheritedUntil(), LearnedSpeeds: w.learned})
@@ -189,7 +191,7 @@
 	return w.now.Add(worldLeaseBound)
 }
 
-// killScheduler ends the scheduler; its orders on the way may still arrive.
+// killScheduler ends the scheduler. Orders that it has sent may still arrive.
 func (w *world) killScheduler() {
 	if w.core != nil {
 		w.learned = w.core.LearnedSpeeds()
@@ -201,7 +203,7 @@
 	w.events = append(w.events, event{at: w.now.Add(d), do: do})
 }
 
-// run lets time pass.
+// run advances virtual time by d.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(worldTick)
@@ -237,7 +239,8 @@
 	}
 }
 
-// commit records changes a tick later, unless the scheduler is replaced first.
+// commit commits changed records a tick later, unless the scheduler is replaced
+// first.
 func (w *world) commit() {
 	if w.storeDown {
 		return
@@ -309,37 +312,38 @@
 
 func (w *world) gangSize(job string, step int) int { return w.stepTasks[stepName(job, step)].GangSize }
 
-// sendOrder carries an order out, or loses it, its answer, or only delays it.
+// sendOrder delivers an order, or loses it, loses its answer, or delivers it
+// late.
 func (w *world) sendOrder(o scheduler.Order) {
 	core, token := w.core, w.token
-	lost, silent, late := false, false, time.Duration(0)
+	lost, answerLost, delay := false, false, time.Duration(0)
 	if len(w.nextFaults) > 0 {
-		lost, silent, late = w.nextFaults[0].lost, w.nextFaults[0].answerLost, w.nextFaults[0].delay
+		lost, answerLost, delay = w.nextFaults[0].lost, w.nextFaults[0].answerLost, w.nextFaults[0].delay
 		w.nextFaults = w.nextFaults[1:]
 	} else if w.rng.Float64() < w.faults.lost {
 		switch w.rng.IntN(3) {
 		case 0:
 			lost = true
 		case 1:
-			silent = true
+			answerLost = true
 		default:
-			silent, late = true, 2*time.Second+time.Duration(w.rng.Int64N(int64(8*time.Second)))
+			answerLost, delay = true, 2*time.Second+time.Duration(w.rng.Int64N(int64(8*time.Second)))
 		}
 	}
 	core.NoteLeaseExtension(o.Runner.ID, w.now.Add(worldLeaseBound))
-	carry := w.deliveryOf(o, token)
-	w.after(worldTick+late, func() {
+	deliver := w.deliveryOf(o, token)
+	w.after(worldTick+delay, func() {
 		answer := dispatch.Unanswered
 		if !lost && w.reachable(o.Runner.ID) {
-			answer = carry()
+			answer = deliver()
 		}
-		if !silent && answer != dispatch.Unanswered && w.core == core {
+		if !answerLost && answer != dispatch.Unanswered && w.core == core {
 			core.HandleAnswer(o, schedulerAnswer(answer), w.now)
 		}
-		silent = silent || answer == dispatch.Unanswered
+		answerLost = answerLost || answer == dispatch.Unanswered
 	})
 	w.after(answerTimeout, func() {
-		if silent && w.core == core {
+		if answerLost && w.core == core {
 			w.handleNoAnswer(core, o)
 		}
 	})
@@ -355,8 +359,9 @@
 	}
 }
 
-// deliveryOf fixes the order's deadline when it is sent, as the driver does. The
-// connection that it is sent on ends with the runner's incarnation.
+// deliveryOf returns a function that delivers the order. The order's deadline
+// is fixed when it is sent, as by the leader, and the connection that it is
+// sent on ends with the runner's incarnation.
 func (w *world) deliveryOf(o scheduler.Order, token uint64) func() dispatch.Answer {
 	id := o.Runner.ID
 	born := w.pool.Runner(id).Born
@@ -381,7 +386,9 @@
 	return scheduler.NotExecuted
 }
 
-// checkStart holds each start against what must always hold.
+// checkStart checks the invariants of every start: one run at a time, none
+// after a recorded end, none before the steps before it are done, and none
+// before its due time.
 func (w *world) checkStart(now steady.Time, on string, task batch.TaskID, attempt int) {
 	w.starts++
 	if n := w.pool.Running(task); n != 1 {
@@ -424,5 +431,5 @@
 	return false
 }
 
-// state returns what is recorded of a job.
+// state returns the recorded state of a job.
 func (w *world) state(id string) batch.State { return w.store[id].State }
