--- a/batch/scheduler/decide_test.go
+++ b/batch/scheduler/decide_test.go
@@ -18,18 +18,18 @@
 	}
 }
 
-func calmWorld(t testing.TB, racks, each int) *world {
+func faultFreeWorld(t testing.TB, racks, each int) *world {
 	w := newWorld(t, 1, faults{})
 	w.addRunners(racks, each)
-	w.lead()
+	w.startScheduler()
 	w.run(1500 * time.Millisecond) // every runner has reported
 	return w
 }
 
 // A gang that fits no rack waits for a place near its data for a while. A new
-// scheduler goes on from the wait that its job has behind it.
+// scheduler counts that wait from the job's acceptance, not from its own start.
 func TestWaitCountsFromAcceptanceAfterATakeover(t *testing.T) {
-	w := calmWorld(t, 2, 3)
+	w := faultFreeWorld(t, 2, 3)
 	step := gang(4, 8, 20*time.Second)
 	step.SameRack = true
 	filler := gang(3, 8, time.Minute)
@@ -40,17 +40,17 @@
 	w.run(5 * time.Second)
 	must.Eq(t, batch.State(""), w.state("wide"))
 	w.cancel("filler")
-	w.kill()
+	w.killScheduler()
 	w.run(3 * time.Second)
-	w.lead()
+	w.startScheduler()
 	w.run(2 * time.Second)
 	must.Eq(t, batch.Running, w.state("wide"))
 }
 
 // An urgent gang within its organisation's guarantee starts in time although
-// others hold everything, however much work that throws away.
+// others hold all capacity, however much work the preemption throws away.
 func TestGuaranteeIsReclaimedInTime(t *testing.T) {
-	w := calmWorld(t, 2, 3)
+	w := faultFreeWorld(t, 2, 3)
 	for i := range 6 {
 		w.submit(batch.Job{ID: fmt.Sprintf("other%d", i), Organisation: "two", Priority: 1, Steps: []batch.Step{gang(1, 8, time.Minute)}}, time.Minute, false)
 	}
@@ -70,9 +70,10 @@
 	return 0
 }
 
-// Beyond the guarantee, long unsaved work is not thrown away for a short job.
-func TestPreemptionIsBoundedByWhatItThrowsAway(t *testing.T) {
-	w := calmWorld(t, 1, 2)
+// Beyond the guarantee, preemption doesn't throw away long unsaved work for a
+// short job.
+func TestPreemptionIsBoundedByLostWork(t *testing.T) {
+	w := faultFreeWorld(t, 1, 2)
 	for i := range 2 {
 		w.submit(batch.Job{ID: fmt.Sprintf("long%d", i), Organisation: "two", Priority: 1, Steps: []batch.Step{gang(1, 8, time.Minute)}}, 40*time.Second, false)
 	}
@@ -86,11 +87,11 @@
 	must.Eq(t, batch.Completed, w.state("short"))
 }
 
-// Runners differ in speed. Members that wait for a slower one at a hundred
-// percent must not make their runners look slow: urgent work then ran on truly
-// slow ones.
-func TestUrgentWorkLearnsWhichRunnersAreFast(t *testing.T) {
-	w := calmWorld(t, 2, 6)
+// Urgent gangs run on the runners that were learned to be fast. Guards against
+// a fault in which members that waited at a hundred percent for a slower one
+// made their runners look slow, so that urgent work ran on slow runners.
+func TestUrgentWorkRunsOnRunnersLearnedToBeFast(t *testing.T) {
+	w := faultFreeWorld(t, 2, 6)
 	learnSpeeds(w)
 	for i := range 4 {
 		id := fmt.Sprintf("urgent%d", i)
@@ -100,7 +101,8 @@
 	}
 }
 
-// learnSpeeds plays gangs that span fast and slow runners until their speeds are known.
+// learnSpeeds runs gangs that span fast and slow runners until their speeds are
+// learned.
 func learnSpeeds(w *world) {
 	for i := range 12 {
 		w.submit(batch.Job{ID: fmt.Sprintf("learn%02d", i), Priority: 1, Steps: []batch.Step{gang(6, 8, 2*time.Second)}}, 2*time.Second, false)
@@ -109,14 +111,14 @@
 	w.run(20 * time.Second)
 }
 
-// What was learned of the runners' speeds outlives the scheduler: after a
-// takeover urgent work ran on slow runners until they were known again.
-func TestLearnedSpeedsOutliveTheirScheduler(t *testing.T) {
-	w := calmWorld(t, 2, 6)
+// Learned speeds are passed on to the next scheduler. Without that, urgent work
+// ran on slow runners after a takeover until the speeds were learned again.
+func TestLearnedSpeedsSurviveTakeover(t *testing.T) {
+	w := faultFreeWorld(t, 2, 6)
 	learnSpeeds(w)
-	w.kill()
+	w.killScheduler()
 	w.run(time.Second)
-	w.lead()
+	w.startScheduler()
 	w.run(8 * time.Second)
 	for i := range 4 {
 		id := fmt.Sprintf("urgent%d", i)
@@ -126,20 +128,21 @@
 	}
 }
 
-// On a heavy day what is free, and what is cheapest to free, is on the slow
-// runners. Other work makes way on a fast one for an urgent job that would be late.
-func TestUrgentWorkIsNotLeftToSlowRunners(t *testing.T) {
+// Under heavy load the capacity that is free, or cheapest to free, is on the
+// slow runners. An urgent job that would be late there preempts other work on a
+// fast runner.
+func TestUrgentWorkPreemptsOnFastRunners(t *testing.T) {
 	for name, onSlow := range map[string]int{"slow runners are free": 0, "nothing is free": 16} {
 		t.Run(name, func(t *testing.T) {
-			w := calmWorld(t, 1, 6) // two fast, two average and two slow ones
-			w.kill()
+			w := faultFreeWorld(t, 1, 6) // two fast, two average and two slow ones
+			w.killScheduler()
 			w.learned = knownSpeeds()
-			w.lead()
+			w.startScheduler()
 			w.run(8 * time.Second)
-			w.submit(plainJob("others", 32, false), 40*time.Second, false)
+			w.submit(singleTaskJob("others", 32, false), 40*time.Second, false)
 			w.run(6 * time.Second)
 			if onSlow > 0 {
-				w.submit(plainJob("resumable", onSlow, true), 40*time.Second, false)
+				w.submit(singleTaskJob("resumable", onSlow, true), 40*time.Second, false)
 				w.run(time.Second)
 			}
 			must.Eq(t, onSlow, w.pool.Runner("r0-2").Running()+w.pool.Runner("r0-5").Running())
@@ -152,23 +155,24 @@
 	}
 }
 
-// plainJob is one of single tasks of 40 s for which slow runners are too slow.
-func plainJob(id string, tasks int, resumable bool) batch.Job {
+// singleTaskJob returns a job of single tasks of 40 s for which slow runners
+// are too slow.
+func singleTaskJob(id string, tasks int, resumable bool) batch.Job {
 	return batch.Job{ID: id, Priority: 2, Stretch: 2, Steps: []batch.Step{{
 		Tasks: tasks, Checkpoints: resumable, Estimate: 40 * time.Second,
 		Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1},
 	}}}
 }
 
-// Single tasks that are urgent get their room at the same time, not one after
+// Urgent single tasks get their capacity in the same decision, not one after
 // the other: a guarantee of many accelerators is due back within 3 s.
-func TestUrgentTasksGetTheirRoomTogether(t *testing.T) {
-	w := calmWorld(t, 1, 6)
-	w.submit(plainJob("others", 48, true), 40*time.Second, false)
+func TestUrgentTasksPreemptInOneDecision(t *testing.T) {
+	w := faultFreeWorld(t, 1, 6)
+	w.submit(singleTaskJob("others", 48, true), 40*time.Second, false)
 	w.run(3 * time.Second)
 	urgent := batch.Step{Tasks: 5, Estimate: 3 * time.Second, Request: batch.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 8}}
 	w.submit(batch.Job{ID: "urgent", Stretch: 1.5, TargetLatency: 250 * time.Millisecond, Steps: []batch.Step{urgent}}, 3*time.Second, false)
-	w.run(3 * worldTick) // a decision, and the stops' way
+	w.run(3 * worldTick) // a decision, and the delivery of the stops
 	must.Eq(t, 8, total(w.runsOf("others")))
 	w.run(700 * time.Millisecond)
 	must.Eq(t, 5, total(w.runsOf("urgent")))
@@ -182,9 +186,9 @@
 	return known
 }
 
-// A task that makes no progress on a hanging runner is moved.
+// A task without progress on a hanging runner is moved to another one.
 func TestStalledWorkIsMoved(t *testing.T) {
-	w := calmWorld(t, 1, 2)
+	w := faultFreeWorld(t, 1, 2)
 	w.pool.Runner("r0-0").Hangs = true
 	w.pool.Runner("r0-1").Hangs = true
 	w.submit(batch.Job{ID: "stuck", Steps: []batch.Step{gang(1, 8, time.Second)}, Stretch: 1.5}, time.Second, false)
@@ -199,34 +203,35 @@
 	must.Eq(t, batch.Completed, w.state("stuck"))
 }
 
-// A step starts after the steps before it; a timed job at its times; a job that
-// fails for good is shown as failed after its attempts and no more are made.
-func TestOrderTimesAndAttempts(t *testing.T) {
-	w := calmWorld(t, 1, 3)
+// A step starts after the steps before it, and a scheduled job at its times. A
+// job whose tasks fail ends as failed after its maximum number of attempts.
+func TestStepOrderScheduleAndMaxAttempts(t *testing.T) {
+	w := faultFreeWorld(t, 1, 3)
 	second := gang(2, 2, time.Second)
 	second.After = []int{0}
 	w.submit(batch.Job{ID: "steps", Priority: 1, Steps: []batch.Step{gang(2, 2, time.Second), second}}, time.Second, false)
-	w.submit(batch.Job{ID: "hopeless", Priority: 1, MaxAttempts: 2, Steps: []batch.Step{gang(2, 2, time.Second)}}, time.Second, true)
+	w.submit(batch.Job{ID: "failing", Priority: 1, MaxAttempts: 2, Steps: []batch.Step{gang(2, 2, time.Second)}}, time.Second, true)
 	w.submit(batch.Job{ID: "timed", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}, Schedule: &batch.Schedule{
 		Occurrences: 3, First: time.Unix(0, int64(w.now)).Add(4 * time.Second), Interval: 2 * time.Second,
 	}}, time.Second, false)
 	w.run(30 * time.Second)
 	must.Eq(t, batch.Completed, w.state("steps"))
-	must.Eq(t, batch.Failed, w.state("hopeless"))
+	must.Eq(t, batch.Failed, w.state("failing"))
 	must.Eq(t, batch.Completed, w.state("timed"))
-	for _, row := range w.store["hopeless"].Tasks {
+	for _, row := range w.store["failing"].Tasks {
 		must.Eq(t, 2, row.Failures)
 	}
 }
 
-// Nothing starts on a runner that is leaving or in an evacuated failure domain,
-// without the label that a step asks for, or beyond its spread limit.
-func TestFilters(t *testing.T) {
-	w := calmWorld(t, 2, 2)
-	w.core.Evacuate(map[string]bool{"fd0": true})
+// Nothing starts on a draining runner, in an evacuated failure domain, on a
+// runner without the label that the step requires, or beyond the step's limit
+// per runner.
+func TestPlacementFilters(t *testing.T) {
+	w := faultFreeWorld(t, 2, 2)
+	w.core.SetEvacuated(map[string]bool{"fd0": true})
 	leaving := w.pool.Runner("r1-0").Runner
 	leaving.Draining = true
-	w.core.ListRunner(leaving, w.now)
+	w.core.RunnerListed(leaving, w.now)
 	spread := batch.Step{Tasks: 3, PerRunner: 2, Estimate: time.Second, Request: batch.Resources{Accelerators: 1}}
 	w.submit(batch.Job{ID: "spread", Priority: 1, Steps: []batch.Step{spread}}, time.Minute, false)
 	labelled := gang(1, 1, time.Second)
@@ -238,9 +243,10 @@
 	must.Eq(t, batch.State(""), w.state("labelled"))
 }
 
-// Without the store nothing starts: the next scheduler would not know of it.
-func TestNothingStartsUnrecorded(t *testing.T) {
-	w := calmWorld(t, 1, 2)
+// Nothing starts while the store is down, because the next scheduler would not
+// know of the run.
+func TestNothingStartsBeforeItsRecordIsCommitted(t *testing.T) {
+	w := faultFreeWorld(t, 1, 2)
 	w.storeDown = true
 	w.submit(batch.Job{ID: "new", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}}, time.Second, false)
 	w.run(5 * time.Second)
@@ -250,26 +256,27 @@
 	must.Eq(t, batch.Completed, w.state("new"))
 }
 
-// An end that could not be recorded stays with its runner, so the next
-// scheduler learns of it and does not run the task again.
-func TestUnrecordedEndOutlivesItsScheduler(t *testing.T) {
-	w := calmWorld(t, 1, 2)
+// An end that could not be recorded stays unacknowledged at its runner, so the
+// next scheduler receives it and does not run the task again.
+func TestUnrecordedEndSurvivesTakeover(t *testing.T) {
+	w := faultFreeWorld(t, 1, 2)
 	w.submit(batch.Job{ID: "filing", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}}, time.Second, false)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.run(4 * time.Second)
-	w.kill()
+	w.killScheduler()
 	w.storeDown = false
 	w.run(time.Second)
-	w.lead()
+	w.startScheduler()
 	w.run(3 * time.Second)
 	must.Eq(t, batch.Completed, w.state("filing"))
 	must.Eq(t, 1, w.starts)
 }
 
-// Many equal tasks are placed in one decision, each where there is room left.
+// Many equal tasks are placed in one decision, and no runner gets more than it
+// has room for.
 func TestManyEqualTasksInOneDecision(t *testing.T) {
-	w := calmWorld(t, 4, 6)
+	w := faultFreeWorld(t, 4, 6)
 	w.submit(batch.Job{ID: "wide", Priority: 1, Steps: []batch.Step{
 		{Tasks: 190, Estimate: time.Minute, Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1}},
 	}}, time.Minute, false)
