--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -48,10 +48,10 @@
 	return err
 }
 
-// Askers are the ways to the adviser. It answers one question at a time for
+// AdviserRoutes are the ways to the adviser. It answers one question at a time for
 // each host that asks, so the leader has all hosts ask.
-type Askers struct {
-	Own   Adviser         // nil: nobody is asked
+type AdviserRoutes struct {
+	Local Adviser         // nil: nobody is asked
 	Peers peer.Caller     // to the other hosts
 	Hosts func() []string // their addresses
 }
@@ -75,7 +75,7 @@
 			return
 		case <-l.toAsk:
 		}
-		for _, address := range append([]string{ownAddress}, l.Askers.Hosts()...) {
+		for _, address := range append([]string{ownAddress}, l.AdviserRoutes.Hosts()...) {
 			if !l.askThrough(ctx, address) {
 				break
 			}
@@ -118,7 +118,7 @@
 	call, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	asked := steady.Now()
-	approval, err := l.Askers.advise(call, q, address)
+	approval, err := l.AdviserRoutes.advise(call, q, address)
 	now := steady.Now()
 	l.Log.Info("advice", "job", q.Job, "occurrence", q.Occurrence, "step", q.Step, "asked", len(q.Runners), "through", address,
 		"approved", len(approval.Tickets), "valid", approval.Valid, "took", now.Sub(asked).Round(time.Millisecond), "err", err)
@@ -134,9 +134,9 @@
 	l.core.Advised(q, approval, asked)
 }
 
-func (a *Askers) advise(ctx context.Context, q scheduler.Question, address string) (approval batch.Approval, err error) {
+func (a *AdviserRoutes) advise(ctx context.Context, q scheduler.Question, address string) (approval batch.Approval, err error) {
 	if address == ownAddress {
-		return a.Own.Advise(ctx, q.Job, q.Occurrence, q.Step, q.Runners)
+		return a.Local.Advise(ctx, q.Job, q.Occurrence, q.Step, q.Runners)
 	}
 	args := &AdviceArgs{Job: q.Job, Occurrence: q.Occurrence, Step: q.Step, Runners: q.Runners}
 	err = a.Peers.Call(ctx, address, "Advice.Ask", args, &approval)
--- a/batch/dispatch/election.go
+++ b/batch/dispatch/election.go
@@ -56,9 +56,9 @@
 	return !t.ended && steady.Now().Before(t.renewed.Add(termTTL-termMargin))
 }
 
-// HoldLimit is the latest time to which runners' leases may be extended: a
+// RunnerLeaseLimit is the latest time to which runners' leases may be extended: a
 // later leader waits for just this long for a runner that it can't reach.
-func (t *Term) HoldLimit(lease time.Duration) steady.Time {
+func (t *Term) RunnerLeaseLimit(lease time.Duration) steady.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.renewed.Add(termTTL + lease)
@@ -74,12 +74,12 @@
 
 // Candidate seeks the term and leads while it has it.
 type Candidate struct {
-	Store   kvstore.Keyspace
-	Replica *ledger.Replica
-	Host    string
-	Log     *log.Logger
-	Lead    func(ctx context.Context, t *Term)
-	Delay   func() time.Duration // before the term is sought; nil: none
+	Store        kvstore.Keyspace
+	Replica      *ledger.Replica
+	Host         string
+	Log          *log.Logger
+	Lead         func(ctx context.Context, t *Term)
+	AcquireDelay func() time.Duration // before the term is sought; nil: none
 
 	yielded steady.Time // when it last gave the term up for a stronger host
 }
@@ -106,10 +106,10 @@
 }
 
 func (c *Candidate) delay() time.Duration {
-	if c.Delay == nil {
+	if c.AcquireDelay == nil {
 		return 0
 	}
-	return c.Delay()
+	return c.AcquireDelay()
 }
 
 func waitFor(ctx context.Context, changed <-chan struct{}, most time.Duration) {
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -50,16 +50,16 @@
 
 // Options of a Leader.
 type Options struct {
-	Store      kvstore.Keyspace
-	Replica    *ledger.Replica
-	Runners    Runners
-	Askers     Askers
-	Conditions Conditions
-	Log        *log.Logger
-	Metrics    *metrics.Set     // nil: nothing is counted
-	Now        func() time.Time // time of day, without jumps
+	Store         kvstore.Keyspace
+	Replica       *ledger.Replica
+	Runners       Runners
+	AdviserRoutes AdviserRoutes
+	Conditions    Conditions
+	Log           *log.Logger
+	Metrics       *metrics.Set     // nil: nothing is counted
+	Now           func() time.Time // time of day, without jumps
 
-	Lease        time.Duration // of what runs on a runner
+	RunnerLease  time.Duration // of what runs on a runner
 	Cores        float64       // of processor time of this host
 	Early        time.Duration
 	RemoteFactor float64
@@ -105,7 +105,7 @@
 	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEvents{ctx, l}) })
 	l.background.Go(func() { l.recordLoop(ctx) })
 	l.background.Go(func() { l.speedsLoop(ctx) })
-	if l.Askers.Own != nil {
+	if l.AdviserRoutes.Local != nil {
 		l.background.Go(func() { l.adviceLoop(ctx) })
 	}
 	l.decideLoop(ctx)
@@ -152,7 +152,7 @@
 	l.core = scheduler.New(scheduler.Options{
 		Early:          l.Early,
 		RemoteFactor:   l.RemoteFactor,
-		InheritedUntil: now.Add(slowest(l.Lease)),
+		InheritedUntil: now.Add(slowest(l.RunnerLease)),
 		Learned:        found.speeds,
 		Observe:        l.observe,
 	})
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -141,7 +141,7 @@
 	if k.clockAt.IsZero() || !l.core.MayExtend(k.runner.ID, now) {
 		return 0
 	}
-	lease := min(l.Lease, l.term.HoldLimit(l.Lease).Sub(now))
+	lease := min(l.RunnerLease, l.term.RunnerLeaseLimit(l.RunnerLease).Sub(now))
 	if lease <= 0 {
 		return 0
 	}
--- a/batch/dispatch/orders.go
+++ b/batch/dispatch/orders.go
@@ -44,12 +44,12 @@
 const (
 	Unanswered Answer = iota // it may have been done, or may be done later
 	Accepted
-	Fenced           // a higher token was seen
-	Superseded       // this run, or a later one, was stopped or has ended there
-	Late             // the deadline has passed
-	NoRoom           // it does not fit
-	NoTicket         // the ticket is missing or no longer valid
-	OtherIncarnation // another runner is at the address
+	Fenced               // a higher token was seen
+	Superseded           // this run, or a later one, was stopped or has ended there
+	DeadlinePassed       // the deadline has passed
+	InsufficientCapacity // it does not fit
+	InvalidTicket        // the ticket is missing or no longer valid
+	OtherIncarnation     // another runner is at the address
 	Unhealthy
 	Malformed
 )
--- a/cmd/cyclamentray-batchd/main.go
+++ b/cmd/cyclamentray-batchd/main.go
@@ -136,18 +136,18 @@
 		Dispatch: func() dispatch.Options {
 			bounds := watched.Current().Bounds
 			return dispatch.Options{
-				Store:        store,
-				Replica:      replica,
-				Runners:      runners,
-				Askers:       dispatch.Askers{Own: adviser, Peers: peers, Hosts: others},
-				Conditions:   followed,
-				Log:          logger,
-				Metrics:      set,
-				Now:          now,
-				Lease:        bounds.RunnerLease,
-				Cores:        s.Cores,
-				Early:        bounds.Early / 2, // the rest covers the clocks' differences
-				RemoteFactor: bounds.RemoteX,
+				Store:         store,
+				Replica:       replica,
+				Runners:       runners,
+				AdviserRoutes: dispatch.AdviserRoutes{Local: adviser, Peers: peers, Hosts: others},
+				Conditions:    followed,
+				Log:           logger,
+				Metrics:       set,
+				Now:           now,
+				RunnerLease:   bounds.RunnerLease,
+				Cores:         s.Cores,
+				Early:         bounds.Early / 2, // the rest covers the clocks' differences
+				RemoteFactor:  bounds.RemoteX,
 			}
 		},
 	})
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -188,7 +188,7 @@
 	}
 	r.token = o.Token
 	if o.Deadline <= r.clock(now) {
-		return dispatch.Late
+		return dispatch.DeadlinePassed
 	}
 	r.extend(o.Deadline)
 	k := key{o.Task, o.Attempt}
@@ -199,11 +199,11 @@
 		return dispatch.Superseded
 	}
 	if p.opts.Permits != nil && !p.opts.Permits(now, id, o) {
-		return dispatch.NoTicket
+		return dispatch.InvalidTicket
 	}
 	task := p.opts.Describe(o.Task, o.Spec)
 	if task.Guarded && !r.used().Plus(task.Request).Fits(r.Capacity) {
-		return dispatch.NoRoom
+		return dispatch.InsufficientCapacity
 	}
 	saved, err := time.ParseDuration(o.Checkpoint)
 	if err != nil {
