--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -135,7 +135,7 @@
 }
 
 func (l *Leader) readAll(ctx context.Context) (found records, err error) {
-	if found.jobs, _, err = l.Store.List(ctx, ledger.Prefix); err != nil {
+	if found.jobs, _, err = l.Store.List(ctx, ledger.ReplicaPrefix); err != nil {
 		return found, err
 	}
 	if found.progress, _, err = l.Store.List(ctx, ledger.ProgressPrefix); err != nil {
@@ -158,10 +158,10 @@
 	})
 	recorded := make(map[string]kvstore.Item, len(found.progress))
 	for _, item := range found.progress {
-		recorded[ledger.ProgressJob(item.Key)] = item
+		recorded[ledger.JobFromProgressKey(item.Key)] = item
 	}
 	n := 0
-	whole.Each(func(e ledger.Entry) {
+	whole.EachJob(func(e ledger.Entry) {
 		l.addJob(e, recorded[e.Job.ID], now)
 		n++
 	})
@@ -182,7 +182,7 @@
 		recorded = &p
 	}
 	l.revisions[id] = progress.Revision
-	l.states[id] = e.Recorded
+	l.states[id] = e.RecordedState
 	l.core.AddJob(e.Job, recorded, now)
 	if e.Cancelled {
 		l.core.Cancel(id, now)
@@ -234,7 +234,7 @@
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Replica.Each(func(e ledger.Entry) {
+	l.Replica.EachJob(func(e ledger.Entry) {
 		if _, known := l.core.State(e.Job.ID); !known {
 			l.addJob(e, kvstore.Item{}, now)
 		} else if e.Cancelled {
--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -225,18 +225,18 @@
 func (h *Host) followReplica(ctx context.Context) {
 	f := kvstore.Follower{
 		Store:  h.Store,
-		Prefix: ledger.Prefix,
+		Prefix: ledger.ReplicaPrefix,
 		Wait:   replicaWait,
 		Pause:  h.pause,
 		Reset:  h.Replica.Reset,
 		Apply:  h.Replica.Apply,
 		Lost: func(err error) {
 			h.setLost(steady.Now())
-			h.Log.Warn("store lost", "prefix", ledger.Prefix, "err", err)
+			h.Log.Warn("store lost", "prefix", ledger.ReplicaPrefix, "err", err)
 		},
 		Regained: func() {
 			h.setLost(0)
-			h.Log.Info("store regained", "prefix", ledger.Prefix)
+			h.Log.Info("store regained", "prefix", ledger.ReplicaPrefix)
 		},
 	}
 	f.Run(ctx)
--- a/batch/intake/intake.go
+++ b/batch/intake/intake.go
@@ -126,7 +126,7 @@
 	in.Log.Info("submit", "job", job.ID, "organisation", job.Organisation, "queue", job.Queue,
 		"priority", job.Priority, "took", in.Now().Sub(began), "outcome", outcome(err))
 	if err == nil {
-		in.Replica.Accept(&job)
+		in.Replica.AddJob(&job)
 	}
 	return err
 }
@@ -296,7 +296,7 @@
 	in.count("cancel", err, in.Now().Sub(began))
 	in.Log.Info("cancel", "job", target.JobID, "organisation", target.Organisation, "outcome", outcome(err))
 	if err == nil {
-		in.Replica.Cancel(target.JobID)
+		in.Replica.MarkCancelled(target.JobID)
 	}
 	return err
 }
@@ -311,5 +311,5 @@
 			return n, nil
 		}
 	}
-	return in.Replica.Pending(target.Queue.Name), nil
+	return in.Replica.PendingJobs(target.Queue.Name), nil
 }
--- a/batch/intake/leader.go
+++ b/batch/intake/leader.go
@@ -49,7 +49,7 @@
 
 // Pending answers with the number of a queue's jobs that have not begun.
 func (s *StateService) Pending(args PendingArgs, reply *int) error {
-	*reply = s.Replica.Pending(args.Queue)
+	*reply = s.Replica.PendingJobs(args.Queue)
 	return nil
 }
 
--- a/batch/ledger/ledger.go
+++ b/batch/ledger/ledger.go
@@ -17,8 +17,8 @@
 
 // Keys of the store that hosts write.
 const (
-	Prefix    = "batch/" // what every host follows
-	LeaderKey = "batch/leader"
+	ReplicaPrefix = "batch/" // what every host follows
+	LeaderKey     = "batch/leader"
 
 	// ProgressPrefix is of what only the next leader needs. It is apart, because
 	// it changes more often than the rest.
@@ -39,8 +39,8 @@
 // ProgressKey returns the key of what the scheduler recorded of a job.
 func ProgressKey(id string) string { return ProgressPrefix + id }
 
-// ProgressJob returns the job that a progress key belongs to.
-func ProgressJob(key string) string { return strings.TrimPrefix(key, ProgressPrefix) }
+// JobFromProgressKey returns the job that a progress key belongs to.
+func JobFromProgressKey(key string) string { return strings.TrimPrefix(key, ProgressPrefix) }
 
 // StateKey returns the key of a job's state as callers see it.
 func StateKey(id string) string { return statePrefix + id }
@@ -78,23 +78,23 @@
 
 // Entry is what is known of one job.
 type Entry struct {
-	Job       *batch.Job
-	Recorded  batch.State // as the leader recorded it last; empty: nothing recorded
-	revision  uint64      // of Recorded
-	Cancelled bool
+	Job           *batch.Job
+	RecordedState batch.State // as the leader recorded it last; empty: nothing recorded
+	revision      uint64      // of Recorded
+	Cancelled     bool
 }
 
 // State returns the job's state as callers see it.
 func (e Entry) State() batch.State {
 	switch {
-	case e.Recorded.Final():
-		return e.Recorded
+	case e.RecordedState.Final():
+		return e.RecordedState
 	case e.Cancelled:
 		return batch.Cancelled
-	case e.Recorded == "":
+	case e.RecordedState == "":
 		return batch.Queued
 	default:
-		return e.Recorded
+		return e.RecordedState
 	}
 }
 
@@ -190,7 +190,7 @@
 	case strings.HasPrefix(item.Key, statePrefix):
 		e := r.entry(strings.TrimPrefix(item.Key, statePrefix))
 		if item.Revision >= e.revision {
-			e.Recorded, e.revision = batch.State(item.Value), item.Revision
+			e.RecordedState, e.revision = batch.State(item.Value), item.Revision
 		}
 	case strings.HasPrefix(item.Key, cancelPrefix):
 		r.entry(strings.TrimPrefix(item.Key, cancelPrefix)).Cancelled = true
@@ -239,8 +239,8 @@
 	}
 }
 
-// Accept adds a job that this host has just stored.
-func (r *Replica) Accept(job *batch.Job) {
+// AddJob adds a job that this host has just stored.
+func (r *Replica) AddJob(job *batch.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.entry(job.ID); e.Job == nil {
@@ -249,8 +249,8 @@
 	r.signal()
 }
 
-// Cancel marks a job whose cancellation this host has just stored.
-func (r *Replica) Cancel(id string) {
+// MarkCancelled marks a job whose cancellation this host has just stored.
+func (r *Replica) MarkCancelled(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entry(id).Cancelled = true
@@ -289,8 +289,8 @@
 	return *e, true
 }
 
-// Each calls f for every accepted job.
-func (r *Replica) Each(f func(Entry)) {
+// EachJob calls f for every accepted job.
+func (r *Replica) EachJob(f func(Entry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.jobs {
@@ -300,10 +300,10 @@
 	}
 }
 
-// Pending counts the jobs of a queue of which nothing was started.
-func (r *Replica) Pending(queue string) int {
+// PendingJobs counts the jobs of a queue of which nothing was started.
+func (r *Replica) PendingJobs(queue string) int {
 	n := 0
-	r.Each(func(e Entry) {
+	r.EachJob(func(e Entry) {
 		if e.Job.Queue == queue && e.State() == batch.Queued {
 			n++
 		}
