--- a/batch/conditions/conditions.go
+++ b/batch/conditions/conditions.go
@@ -19,20 +19,20 @@
 type Format struct {
 	OperatorPrefix string
 	RunnerPrefix   string
-	// Document decodes an operator's entry. An entry that is not used decodes to
-	// the zero Document.
-	Document func(kvstore.Item) (Document, error)
+	// DecodeDocument decodes an operator's entry. An entry that is not used decodes to
+	// the zero DecodeDocument.
+	DecodeDocument func(kvstore.Item) (Document, error)
 	// EvacuatedDomain returns the failure domain that a key asks to evacuate, or "".
 	EvacuatedDomain func(key string) string
-	// Runner decodes a runner's entry, or says why it names no runner.
-	Runner   func(kvstore.Item) (batch.Runner, error)
-	RunnerID func(key string) string
+	// DecodeRunner decodes a runner's entry, or says why it names no runner.
+	DecodeRunner func(kvstore.Item) (batch.Runner, error)
+	RunnerID     func(key string) string
 }
 
 // Document is one of the operator's documents. At most one field is set.
 type Document struct {
-	Configuration *batch.Configuration
-	Evacuated     string // failure domain
+	Configuration   *batch.Configuration
+	EvacuatedDomain string // failure domain
 }
 
 // watchWait is short, so that a connection that has gone silent is replaced
@@ -111,7 +111,7 @@
 	if e.Deleted {
 		return
 	}
-	document, err := c.format.Document(e.Item)
+	document, err := c.format.DecodeDocument(e.Item)
 	if err != nil {
 		c.log.Error("document is unreadable; the one in force stays", "key", e.Key, "revision", e.Revision, "err", err)
 		return
--- a/batch/conditions/conditions_test.go
+++ b/batch/conditions/conditions_test.go
@@ -24,7 +24,7 @@
 var plainFormat = Format{
 	OperatorPrefix: "operator/",
 	RunnerPrefix:   "runner/",
-	Document: func(item kvstore.Item) (Document, error) {
+	DecodeDocument: func(item kvstore.Item) (Document, error) {
 		d := Document{Configuration: &batch.Configuration{Revision: item.Revision}}
 		return d, json.Unmarshal(item.Value, &d.Configuration.Version)
 	},
@@ -35,7 +35,7 @@
 		}
 		return domain
 	},
-	Runner: func(item kvstore.Item) (batch.Runner, error) {
+	DecodeRunner: func(item kvstore.Item) (batch.Runner, error) {
 		var r batch.Runner
 		err := json.Unmarshal(item.Value, &r)
 		return r, err
--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -129,7 +129,7 @@
 // put passes an entry on when it says something new. One that can't be used
 // names no runner, and put returns false.
 func (l *runnerList) put(item kvstore.Item) bool {
-	r, err := l.format.Runner(item)
+	r, err := l.format.DecodeRunner(item)
 	if err != nil {
 		l.log.Warn("runner's entry can't be used", "key", item.Key, "revision", item.Revision, "err", err)
 		l.to.Unlisted(l.format.RunnerID(item.Key))
