--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -17,9 +17,9 @@
 	// answers wait for each other, and a slow link is slower.
 	adviceGrace = time.Second
 
-	// askerRest is how long a host through which no answer came isn't used:
+	// routeBackoff is how long a host through which no answer came isn't used:
 	// about as long as a cut lasts.
-	askerRest = 3 * time.Second
+	routeBackoff = 3 * time.Second
 )
 
 // AdviceArgs has a host ask the adviser.
@@ -56,15 +56,15 @@
 	Hosts func() []string // their addresses
 }
 
-// asker is a host that asks for the leader. Its fields are guarded by the
+// adviserRoute is a host that asks for the leader. Its fields are guarded by the
 // leader's mu.
-type asker struct {
-	busy  bool        // with a question
-	rests steady.Time // until when it isn't used
+type adviserRoute struct {
+	busy         bool        // with a question
+	backoffUntil steady.Time // until when it isn't used
 }
 
-// ownAddress stands for the leader itself among the askers.
-const ownAddress = ""
+// localAddress stands for the leader itself among the askers.
+const localAddress = ""
 
 // adviceLoop has questions asked until ctx ends. A decision is made on each
 // answer before more are given out.
@@ -73,24 +73,24 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.toAsk:
+		case <-l.adviceDue:
 		}
-		for _, address := range append([]string{ownAddress}, l.AdviserRoutes.Hosts()...) {
-			if !l.askThrough(ctx, address) {
+		for _, address := range append([]string{localAddress}, l.AdviserRoutes.Hosts()...) {
+			if !l.askVia(ctx, address) {
 				break
 			}
 		}
 	}
 }
 
-// askThrough gives the host at address a question, if it is free. It returns
+// askVia gives the host at address a question, if it is free. It returns
 // false when none is due.
-func (l *Leader) askThrough(ctx context.Context, address string) bool {
+func (l *Leader) askVia(ctx context.Context, address string) bool {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	through := l.asker(address)
-	if through.busy || now.Before(through.rests) {
+	through := l.route(address)
+	if through.busy || now.Before(through.backoffUntil) {
 		return true
 	}
 	q, due := l.core.Ask(now)
@@ -99,21 +99,21 @@
 	}
 	through.busy = true
 	l.background.Go(func() {
-		l.ask(ctx, q, address)
-		signal(l.wake)
+		l.askAdviser(ctx, q, address)
+		signal(l.decisionDue)
 	})
 	return true
 }
 
-// asker returns the host at address. The caller holds mu.
-func (l *Leader) asker(address string) *asker {
-	if l.askers[address] == nil {
-		l.askers[address] = &asker{}
+// route returns the host at address. The caller holds mu.
+func (l *Leader) route(address string) *adviserRoute {
+	if l.routes[address] == nil {
+		l.routes[address] = &adviserRoute{}
 	}
-	return l.askers[address]
+	return l.routes[address]
 }
 
-func (l *Leader) ask(ctx context.Context, q scheduler.Question, address string) {
+func (l *Leader) askAdviser(ctx context.Context, q scheduler.Question, address string) {
 	limit := q.Advice.DecisionTime + time.Duration(len(q.Runners))*q.Advice.TimePerRunner + adviceGrace
 	call, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -124,10 +124,10 @@
 		"approved", len(approval.Tickets), "valid", approval.Valid, "took", now.Sub(asked).Round(time.Millisecond), "err", err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	through := l.asker(address)
+	through := l.route(address)
 	through.busy = false
 	if err != nil {
-		through.rests = now.Add(askerRest)
+		through.backoffUntil = now.Add(routeBackoff)
 		l.core.NotAdvised(q, now)
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 func (a *AdviserRoutes) advise(ctx context.Context, q scheduler.Question, address string) (approval batch.Approval, err error) {
-	if address == ownAddress {
+	if address == localAddress {
 		return a.Local.Advise(ctx, q.Job, q.Occurrence, q.Step, q.Runners)
 	}
 	args := &AdviceArgs{Job: q.Job, Occurrence: q.Occurrence, Step: q.Step, Runners: q.Runners}
--- a/batch/dispatch/election.go
+++ b/batch/dispatch/election.go
@@ -21,21 +21,21 @@
 	// leader without the store gives no starts after it.
 	termTTL = 2 * time.Second
 
-	renewEvery    = termTTL / 4
-	renewTimeout  = 900 * time.Millisecond  // above the slowest store, below what is left of the lease
-	termMargin    = 200 * time.Millisecond  // for the way of a call and for timers that fire late
-	acquireJitter = 120 * time.Millisecond  // spreads the candidates when a term ends
-	acquireCall   = 1500 * time.Millisecond // two calls of a slow store
+	renewInterval  = termTTL / 4
+	renewTimeout   = 900 * time.Millisecond  // above the slowest store, below what is left of the lease
+	termMargin     = 200 * time.Millisecond  // for the way of a call and for timers that fire late
+	acquireJitter  = 120 * time.Millisecond  // spreads the candidates when a term ends
+	acquireTimeout = 1500 * time.Millisecond // two calls of a slow store
 
-	// yieldAfter is how long a host leads before it yields to a much stronger
+	// minTermBeforeYield is how long a host leads before it yields to a much stronger
 	// one, and yieldAgain how long until it may yield again: the stronger one may
 	// be listed and gone.
-	yieldAfter = 1500 * time.Millisecond
-	yieldAgain = 20 * time.Second
+	minTermBeforeYield = 1500 * time.Millisecond
+	yieldCooldown      = 20 * time.Second
 
-	// yieldDelay is the delay before seeking the term from which a host counts
+	// yieldMinDelay is the delay before seeking the term from which a host counts
 	// as much weaker than the strongest.
-	yieldDelay = 300 * time.Millisecond
+	yieldMinDelay = 300 * time.Millisecond
 )
 
 // Term is one host's authority to schedule. It is safe for concurrent use.
@@ -81,7 +81,7 @@
 	Lead         func(ctx context.Context, t *Term)
 	AcquireDelay func() time.Duration // before the term is sought; nil: none
 
-	yielded steady.Time // when it last gave the term up for a stronger host
+	lastYield steady.Time // when it last gave the term up for a stronger host
 }
 
 // Run seeks the term until ctx ends, and gives it up then.
@@ -89,30 +89,30 @@
 	changed := c.Replica.Watch()
 	for ctx.Err() == nil {
 		if !c.Replica.Loaded() || c.Replica.Leader() != (ledger.Leader{}) {
-			waitFor(ctx, changed, renewEvery)
+			waitForChange(ctx, changed, renewInterval)
 			continue
 		}
-		if !pause.For(ctx, rand.N(acquireJitter)+c.delay()) || c.Replica.Leader() != (ledger.Leader{}) {
+		if !pause.For(ctx, rand.N(acquireJitter)+c.acquireDelay()) || c.Replica.Leader() != (ledger.Leader{}) {
 			continue
 		}
-		term, err := c.acquire(ctx)
+		term, err := c.acquireTerm(ctx)
 		if err != nil {
 			c.Log.Debug("term not acquired", "err", err)
 			pause.For(ctx, acquireJitter)
 			continue
 		}
-		c.lead(ctx, term)
+		c.leadTerm(ctx, term)
 	}
 }
 
-func (c *Candidate) delay() time.Duration {
+func (c *Candidate) acquireDelay() time.Duration {
 	if c.AcquireDelay == nil {
 		return 0
 	}
 	return c.AcquireDelay()
 }
 
-func waitFor(ctx context.Context, changed <-chan struct{}, most time.Duration) {
+func waitForChange(ctx context.Context, changed <-chan struct{}, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
@@ -122,8 +122,8 @@
 	}
 }
 
-func (c *Candidate) acquire(ctx context.Context) (*Term, error) {
-	ctx, cancel := context.WithTimeout(ctx, acquireCall)
+func (c *Candidate) acquireTerm(ctx context.Context) (*Term, error) {
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	began := steady.Now()
 	grant, err := c.Store.Grant(ctx, termTTL)
@@ -136,7 +136,7 @@
 		Puts: []kvstore.Put{{Key: ledger.LeaderKey, Value: []byte(value), Lease: grant.ID}},
 	})
 	if errors.Is(err, kvstore.ErrAmbiguous) || errors.Is(err, kvstore.ErrConflict) {
-		revision, err = c.settle(ctx, value)
+		revision, err = c.readBackTerm(ctx, value)
 	}
 	if err != nil {
 		return nil, err
@@ -144,8 +144,8 @@
 	return &Term{Token: revision, lease: grant.ID, renewed: began}, nil
 }
 
-// settle reads back whether a commit without an answer took the term.
-func (c *Candidate) settle(ctx context.Context, value string) (uint64, error) {
+// readBackTerm reads back whether a commit without an answer took the term.
+func (c *Candidate) readBackTerm(ctx context.Context, value string) (uint64, error) {
 	item, err := c.Store.Get(ctx, ledger.LeaderKey)
 	if err != nil {
 		return 0, err
@@ -156,14 +156,14 @@
 	return item.Revision, nil
 }
 
-func (c *Candidate) lead(ctx context.Context, t *Term) {
-	leading, cancel := context.WithCancel(ctx)
+func (c *Candidate) leadTerm(ctx context.Context, t *Term) {
+	termCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.cancel = cancel
 	c.Log.Info("term acquired", "token", t.Token)
 	var renewing sync.WaitGroup
-	renewing.Go(func() { c.renew(leading, t) })
-	c.Lead(leading, t)
+	renewing.Go(func() { c.renewTerm(termCtx, t) })
+	c.Lead(termCtx, t)
 	t.End()
 	renewing.Wait()
 	c.Log.Info("term ended", "token", t.Token)
@@ -174,23 +174,23 @@
 	}
 }
 
-// yields reports whether to give the term up for a much stronger host.
-func (c *Candidate) yields(began, now steady.Time) bool {
-	if c.delay() < yieldDelay || now.Sub(began) < yieldAfter {
+// shouldYield reports whether to give the term up for a much stronger host.
+func (c *Candidate) shouldYield(began, now steady.Time) bool {
+	if c.acquireDelay() < yieldMinDelay || now.Sub(began) < minTermBeforeYield {
 		return false
 	}
-	return c.yielded.IsZero() || now.Sub(c.yielded) > yieldAgain
+	return c.lastYield.IsZero() || now.Sub(c.lastYield) > yieldCooldown
 }
 
-// renew extends the term until it is lost. A store that does not answer does
+// renewTerm extends the term until it is lost. A store that does not answer does
 // not end it: the lease may be paused there.
-func (c *Candidate) renew(ctx context.Context, t *Term) {
+func (c *Candidate) renewTerm(ctx context.Context, t *Term) {
 	began := steady.Now()
-	for pause.For(ctx, renewEvery) {
+	for pause.For(ctx, renewInterval) {
 		sent := steady.Now()
-		if c.yields(began, sent) {
+		if c.shouldYield(began, sent) {
 			c.Log.Info("term yielded to a stronger host", "token", t.Token)
-			c.yielded = sent
+			c.lastYield = sent
 			t.End()
 			return
 		}
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// decideEvery bounds how late a decision that only time brings is taken.
-	decideEvery = 100 * time.Millisecond
+	// decideInterval bounds how late a decision that only time brings is taken.
+	decideInterval = 100 * time.Millisecond
 
-	// decidePause lies between two decisions, so that a burst is decided at once.
-	decidePause = 5 * time.Millisecond
+	// minDecidePause lies between two decisions, so that a burst is decided at once.
+	minDecidePause = 5 * time.Millisecond
 
-	// decideShare keeps decisions from taking more than a third of the processor.
-	decideShare = 2
+	// decidePauseFactor keeps decisions from taking more than a third of the processor.
+	decidePauseFactor = 2
 
-	loadTimeout = 3 * time.Second        // a few pages of a slow store
-	loadRetry   = 100 * time.Millisecond // nothing else can be done meanwhile
+	loadTimeout    = 3 * time.Second        // a few pages of a slow store
+	loadRetryDelay = 100 * time.Millisecond // nothing else can be done meanwhile
 )
 
 // Conditions is what operators and runners say, as the host follows it.
@@ -74,29 +74,29 @@
 	core      *scheduler.Core
 	revisions map[string]uint64      // of the progress record of each job
 	states    map[string]batch.State // as callers are told
-	links     map[string]*link
-	askers    map[string]*asker // by address
+	links     map[string]*runnerLink
+	routes    map[string]*adviserRoute // by address
 
-	wake       chan struct{} // something may be decided
-	toRecord   chan struct{} // a record changed
-	toAsk      chan struct{} // a question for the adviser may be due
-	committed  chan struct{} // closed and replaced after each commit; guarded by mu
-	background sync.WaitGroup
+	decisionDue  chan struct{} // something may be decided
+	recordsDirty chan struct{} // a record changed
+	adviceDue    chan struct{} // a question for the adviser may be due
+	committed    chan struct{} // closed and replaced after each commit; guarded by mu
+	background   sync.WaitGroup
 }
 
 // Lead schedules until ctx ends, which the end of the term brings about too.
 func Lead(ctx context.Context, o Options, t *Term) {
 	l := &Leader{
-		Options:   o,
-		term:      t,
-		revisions: make(map[string]uint64),
-		states:    make(map[string]batch.State),
-		links:     make(map[string]*link),
-		askers:    make(map[string]*asker),
-		wake:      make(chan struct{}, 1),
-		toRecord:  make(chan struct{}, 1),
-		toAsk:     make(chan struct{}, 1),
-		committed: make(chan struct{}),
+		Options:      o,
+		term:         t,
+		revisions:    make(map[string]uint64),
+		states:       make(map[string]batch.State),
+		links:        make(map[string]*runnerLink),
+		routes:       make(map[string]*adviserRoute),
+		decisionDue:  make(chan struct{}, 1),
+		recordsDirty: make(chan struct{}, 1),
+		adviceDue:    make(chan struct{}, 1),
+		committed:    make(chan struct{}),
 	}
 	defer l.background.Wait()
 	if !l.load(ctx) {
@@ -119,22 +119,22 @@
 		found, err := l.readAll(call)
 		cancel()
 		if err == nil {
-			l.build(found)
+			l.buildCore(found)
 			return true
 		}
 		l.Log.Warn("records not read; trying again", "err", err)
-		pause.For(ctx, loadRetry)
+		pause.For(ctx, loadRetryDelay)
 	}
 	return false
 }
 
-// records is what earlier terms left in the store.
-type records struct {
+// storedRecords is what earlier terms left in the store.
+type storedRecords struct {
 	jobs, progress []kvstore.Item
 	speeds         batch.Speeds
 }
 
-func (l *Leader) readAll(ctx context.Context) (found records, err error) {
+func (l *Leader) readAll(ctx context.Context) (found storedRecords, err error) {
 	if found.jobs, _, err = l.Store.List(ctx, ledger.ReplicaPrefix); err != nil {
 		return found, err
 	}
@@ -145,23 +145,23 @@
 	return found, err
 }
 
-func (l *Leader) build(found records) {
-	whole := ledger.NewReplica(l.Log)
-	whole.Reset(found.jobs)
+func (l *Leader) buildCore(found storedRecords) {
+	replica := ledger.NewReplica(l.Log)
+	replica.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
 		Early:          l.Early,
 		RemoteFactor:   l.RemoteFactor,
-		InheritedUntil: now.Add(slowest(l.RunnerLease)),
+		InheritedUntil: now.Add(maxLeaseDuration(l.RunnerLease)),
 		Learned:        found.speeds,
-		Observe:        l.observe,
+		Observe:        l.logDecision,
 	})
 	recorded := make(map[string]kvstore.Item, len(found.progress))
 	for _, item := range found.progress {
 		recorded[ledger.JobFromProgressKey(item.Key)] = item
 	}
 	n := 0
-	whole.EachJob(func(e ledger.Entry) {
+	replica.EachJob(func(e ledger.Entry) {
 		l.addJob(e, recorded[e.Job.ID], now)
 		n++
 	})
@@ -189,14 +189,14 @@
 	}
 }
 
-func (l *Leader) observe(d scheduler.Decision) {
-	l.count(d)
+func (l *Leader) logDecision(d scheduler.Decision) {
+	l.countDecision(d)
 	l.Log.Info(d.What, "job", d.Job, "occurrence", d.Task.Occurrence, "step", d.Task.Step, "task", d.Task.Index,
 		"attempt", d.Attempt, "runner", d.Runner, "reason", d.Reason, "token", l.term.Token, "waited", d.Waited.Round(time.Millisecond),
 		"factor", math.Round(d.Factor*100)/100, "work", d.Work.Round(time.Millisecond))
 }
 
-func (l *Leader) count(d scheduler.Decision) {
+func (l *Leader) countDecision(d scheduler.Decision) {
 	if l.Metrics == nil {
 		return
 	}
@@ -212,25 +212,25 @@
 // decideLoop takes in what changed, decides, and sends what was decided.
 func (l *Leader) decideLoop(ctx context.Context) {
 	changed := l.Replica.Watch()
-	timer := time.NewTicker(decideEvery)
+	timer := time.NewTicker(decideInterval)
 	defer timer.Stop()
 	for {
 		began := steady.Now()
 		l.decide(ctx)
-		pause.For(ctx, max(decidePause, decideShare*steady.Now().Sub(began)))
+		pause.For(ctx, max(minDecidePause, decidePauseFactor*steady.Now().Sub(began)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-l.wake:
+		case <-l.decisionDue:
 		case <-changed:
-			l.takeJobs()
+			l.addNewJobs()
 		}
 	}
 }
 
-// takeJobs gives the core the jobs and cancellations that it doesn't have.
-func (l *Leader) takeJobs() {
+// addNewJobs gives the core the jobs and cancellations that it doesn't have.
+func (l *Leader) addNewJobs() {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,11 +255,11 @@
 	orders := l.core.TakeOrders()
 	asks := l.core.AnyAdvised()
 	l.mu.Unlock()
-	l.send(ctx, orders)
+	l.sendOrders(ctx, orders)
 	if asks {
-		signal(l.toAsk)
+		signal(l.adviceDue)
 	}
-	signal(l.toRecord)
+	signal(l.recordsDirty)
 }
 
 func signal(c chan struct{}) {
@@ -269,15 +269,15 @@
 	}
 }
 
-// slowest returns how long a lease of d can last on the slowest runner's clock.
-func slowest(d time.Duration) time.Duration {
-	return d*103/100 + clockSlack
+// maxLeaseDuration returns how long a lease of d can last on the maxLeaseDuration runner's clock.
+func maxLeaseDuration(d time.Duration) time.Duration {
+	return d*103/100 + clockReadSlack
 }
 
-// clockSlack covers the way of a report that a runner's clock was read from.
-const clockSlack = 300 * time.Millisecond
+// clockReadSlack covers the way of a report that a runner's clock was read from.
+const clockReadSlack = 300 * time.Millisecond
 
-func (l *Leader) lost(reason string, err error) {
+func (l *Leader) giveUpTerm(reason string, err error) {
 	l.Log.Warn("term given up", "token", l.term.Token, "reason", reason, "err", err)
 	l.term.End()
 }
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// holdWaitMin and holdWaitMax bound how long a runner may wait for an end
+	// minHoldWait and holdWaitMax bound how long a runner may wait for an end
 	// before it reports. Progress, checkpoints and silence are seen that often;
 	// the platform allows two seconds.
-	holdWaitMin = time.Second
-	holdWaitMax = 2 * time.Second
+	minHoldWait = time.Second
+	maxHoldWait = 2 * time.Second
 
-	// holdsPerCore is how many holds a second one core spends its time on. A host
+	// holdsPerCoreSecond is how many holds a second one core spends its time on. A host
 	// of 0.144 cores kept up with three times as many, so bursts have room.
-	holdsPerCore = 400
+	holdsPerCoreSecond = 400
 
-	holdGrace    = 600 * time.Millisecond // beyond the wait, for a slow answer
-	holdRetry    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryMax
-	holdRetryMax = 800 * time.Millisecond // several tries within a runner's shortest lease
+	holdGrace         = 600 * time.Millisecond // beyond the wait, for a slow answer
+	holdRetryDelay    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryMax
+	holdRetryDelayMax = 800 * time.Millisecond // several tries within a runner's shortest lease
 
-	// recordWait is how long a hold waits for the ends of the last report to be
+	// endRecordTimeout is how long a hold waits for the ends of the last report to be
 	// recorded, so that it can acknowledge them: many commits' time.
-	recordWait = 250 * time.Millisecond
+	endRecordTimeout = 250 * time.Millisecond
 
-	// unrecordedPause lies between holds while ends can't be recorded: a runner
+	// unrecordedHoldPause lies between holds while ends can't be recorded: a runner
 	// with unacknowledged ends answers at once. It costs two calls a second.
-	unrecordedPause = 400 * time.Millisecond
+	unrecordedHoldPause = 400 * time.Millisecond
 
-	startTries   = 3
-	startTimeout = 450 * time.Millisecond // three tries end before the rest of a gang has waited too long
-	stopTimeout  = 500 * time.Millisecond // a hundred round trips within a region
-	stopRetry    = 100 * time.Millisecond // doubles up to stopRetryMax
-	stopRetryMax = time.Second            // a cancelled task must be gone within three seconds of a cut's end
+	maxStartTries     = 3
+	startTimeout      = 450 * time.Millisecond // three tries end before the rest of a gang has waited too long
+	stopTimeout       = 500 * time.Millisecond // a hundred round trips within a region
+	stopRetryDelay    = 100 * time.Millisecond // doubles up to stopRetryMax
+	stopRetryDelayMax = time.Second            // a cancelled task must be gone within three seconds of a cut's end
 )
 
-// link is the connection to one runner. Its fields are guarded by the leader's mu.
-type link struct {
+// runnerLink is the connection to one runner. Its fields are guarded by the leader's mu.
+type runnerLink struct {
 	runner batch.Runner
 
 	// The runner's clock when it was last read.
@@ -59,10 +59,10 @@
 	n := len(l.links)
 	l.mu.Unlock()
 	if l.Cores <= 0 {
-		return holdWaitMin
+		return minHoldWait
 	}
-	wait := time.Duration(float64(n) / (holdsPerCore * l.Cores) * float64(time.Second))
-	return min(max(wait, holdWaitMin), holdWaitMax)
+	wait := time.Duration(float64(n) / (holdsPerCoreSecond * l.Cores) * float64(time.Second))
+	return min(max(wait, minHoldWait), maxHoldWait)
 }
 
 // runnerEvents passes what is said of runners on to a leader, for one term.
@@ -80,9 +80,9 @@
 		known.runner = r
 		return
 	}
-	l.links[r.ID] = &link{runner: r}
+	l.links[r.ID] = &runnerLink{runner: r}
 	l.background.Go(func() { l.holdLoop(l.ctx, r.ID) })
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
 // Unlisted implements RunnerEvents.
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.UnlistRunner(id)
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
 // Left implements RunnerEvents.
@@ -98,19 +98,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerLeft(id, steady.Now())
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
 // holdLoop holds a runner until it is neither listed nor needed.
 func (l *Leader) holdLoop(ctx context.Context, id string) {
 	wait := time.Duration(0) // the first hold only reads the clock
-	retry := pause.Backoff{First: holdRetry, Most: holdRetryMax}
+	retry := pause.Backoff{First: holdRetryDelay, Most: holdRetryDelayMax}
 	for ctx.Err() == nil {
 		to, order, ok := l.nextHold(id, wait)
 		if !ok {
 			return
 		}
-		if l.hold(ctx, to, order) {
+		if l.sendHold(ctx, to, order) {
 			retry.Reset()
 			wait = l.afterReport(ctx, id, order.Deadline == 0)
 			continue
@@ -130,13 +130,13 @@
 		return batch.Runner{}, HoldOrder{}, false
 	}
 	o = HoldOrder{Token: l.term.Token, Acknowledged: l.core.Acknowledged(id), Wait: wait}
-	o.Deadline = l.deadline(k)
+	o.Deadline = l.extendLease(k)
 	return k.runner, o, true
 }
 
-// deadline returns how far the runner's lease may be extended, on its clock,
+// extendLease returns how far the runner's lease may be extended, on its clock,
 // and notes it. It is zero while the clock is unknown. The caller holds mu.
-func (l *Leader) deadline(k *link) time.Duration {
+func (l *Leader) extendLease(k *runnerLink) time.Duration {
 	now := steady.Now()
 	if k.clockAt.IsZero() || !l.core.MayExtend(k.runner.ID, now) {
 		return 0
@@ -145,12 +145,12 @@
 	if lease <= 0 {
 		return 0
 	}
-	l.core.Extend(k.runner.ID, now.Add(slowest(lease)))
+	l.core.Extend(k.runner.ID, now.Add(maxLeaseDuration(lease)))
 	return k.clock + now.Sub(k.clockAt) + lease
 }
 
-// hold makes one hold and takes the report in.
-func (l *Leader) hold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
+// sendHold makes one sendHold and takes the report in.
+func (l *Leader) sendHold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
 	call, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
 	asked := steady.Now()
@@ -158,7 +158,7 @@
 	now := steady.Now()
 	l.countHold(answer)
 	if answer == Fenced {
-		l.lost("a runner has seen a later term", nil)
+		l.giveUpTerm("a runner has seen a later term", nil)
 		return false
 	}
 	l.mu.Lock()
@@ -169,7 +169,7 @@
 		}
 		refused := answer == OtherIncarnation || errors.Is(err, syscall.ECONNREFUSED)
 		l.core.Unreachable(to.ID, refused, now)
-		signal(l.wake)
+		signal(l.decisionDue)
 		return false
 	}
 	if k := l.links[to.ID]; k != nil {
@@ -177,7 +177,7 @@
 	}
 	l.core.Report(to.ID, asked, report, now)
 	if len(report.Ended) > 0 || o.Deadline == 0 {
-		signal(l.wake)
+		signal(l.decisionDue)
 	}
 	return true
 }
@@ -190,11 +190,11 @@
 
 // afterReport waits for the report's ends to be recorded. It returns how long
 // the next hold may wait at the runner.
-func (l *Leader) afterReport(ctx context.Context, id string, first bool) time.Duration {
-	if first {
+func (l *Leader) afterReport(ctx context.Context, id string, clockOnly bool) time.Duration {
+	if clockOnly {
 		return 0 // extend the lease at once
 	}
-	limit := time.NewTimer(recordWait)
+	limit := time.NewTimer(endRecordTimeout)
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
@@ -208,44 +208,44 @@
 		case <-ctx.Done():
 			return 0
 		case <-limit.C:
-			pause.For(ctx, unrecordedPause)
+			pause.For(ctx, unrecordedHoldPause)
 			return 0
 		}
 	}
 }
 
-// send sends orders, each by itself, so that a gang starts together and a
+// sendOrders sends orders, each by itself, so that a gang starts together and a
 // silent runner holds up nothing else.
-func (l *Leader) send(ctx context.Context, orders []scheduler.Order) {
+func (l *Leader) sendOrders(ctx context.Context, orders []scheduler.Order) {
 	for _, o := range orders {
 		l.background.Go(func() {
 			if o.Kind == scheduler.StartRun {
-				l.answered(o, l.start(ctx, o))
+				l.passAnswer(o, l.startRun(ctx, o))
 				return
 			}
-			l.stop(ctx, o)
+			l.stopRun(ctx, o)
 		})
 	}
 }
 
-func (l *Leader) answered(o scheduler.Order, a scheduler.Answer) {
+func (l *Leader) passAnswer(o scheduler.Order, a scheduler.Answer) {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.Answered(o, a, now)
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
-// start sends a start until it is answered, a few times. Once a try may have
+// startRun sends a startRun until it is answered, a few times. Once a try may have
 // left without an answer, only an acceptance is clear: the runner may still
 // carry out the earlier try.
-func (l *Leader) start(ctx context.Context, o scheduler.Order) scheduler.Answer {
-	doubt := false
-	for range startTries {
-		if !l.term.Valid() && !doubt {
+func (l *Leader) startRun(ctx context.Context, o scheduler.Order) scheduler.Answer {
+	ambiguous := false
+	for range maxStartTries {
+		if !l.term.Valid() && !ambiguous {
 			return scheduler.NotDone
 		}
-		answer, sent, err := l.startOnce(ctx, o)
+		answer, sent, err := l.sendStart(ctx, o)
 		if answer == Accepted {
 			return scheduler.Accepted
 		}
@@ -253,16 +253,16 @@
 			l.Log.Debug("start failed", "job", o.Task.Job, "step", o.Task.Step, "task", o.Task.Index, "runner", o.Runner.ID, "err", err)
 		}
 		if answer == Unanswered {
-			doubt = doubt || sent
+			ambiguous = ambiguous || sent
 			continue
 		}
 		if answer == Fenced {
-			l.lost("a runner has seen a later term", nil)
+			l.giveUpTerm("a runner has seen a later term", nil)
 		}
 		l.Log.Info("start refused", "job", o.Task.Job, "step", o.Task.Step, "task", o.Task.Index,
-			"attempt", o.Attempt, "runner", o.Runner.ID, "answer", int(answer), "earlier-try", doubt)
+			"attempt", o.Attempt, "runner", o.Runner.ID, "answer", int(answer), "earlier-try", ambiguous)
 		switch {
-		case doubt:
+		case ambiguous:
 			return scheduler.Unknown
 		case answer == Unhealthy || answer == OtherIncarnation:
 			return scheduler.Unhealthy
@@ -270,18 +270,18 @@
 			return scheduler.NotDone
 		}
 	}
-	if doubt {
+	if ambiguous {
 		return scheduler.Unknown
 	}
 	return scheduler.Unhealthy
 }
 
-func (l *Leader) startOnce(ctx context.Context, o scheduler.Order) (answer Answer, sent bool, err error) {
+func (l *Leader) sendStart(ctx context.Context, o scheduler.Order) (answer Answer, sent bool, err error) {
 	l.mu.Lock()
 	k := l.links[o.Runner.ID]
 	var deadline time.Duration
 	if k != nil {
-		deadline = l.deadline(k)
+		deadline = l.extendLease(k)
 	}
 	l.mu.Unlock()
 	if deadline == 0 {
@@ -295,13 +295,13 @@
 	return answer, !errors.Is(err, ErrNotSent), err
 }
 
-// stop sends a stop until it is answered or the run is gone.
-func (l *Leader) stop(ctx context.Context, o scheduler.Order) {
-	retry := pause.Backoff{First: stopRetry, Most: stopRetryMax}
+// stopRun sends a stopRun until it is answered or the run is gone.
+func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
+	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
 	for ctx.Err() == nil && l.stopDue(o) {
-		to, known := l.linked(o.Runner.ID)
+		to, known := l.listedRunner(o.Runner.ID)
 		if !known { // inherited from an earlier term; not listed yet
-			pause.For(ctx, stopRetry)
+			pause.For(ctx, stopRetryDelay)
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, stopTimeout)
@@ -312,17 +312,17 @@
 			l.Log.Debug("stop failed; trying again", "job", o.Task.Job, "runner", o.Runner.ID, "err", err)
 			retry.Wait(ctx)
 		case Fenced:
-			l.lost("a runner has seen a later term", nil)
+			l.giveUpTerm("a runner has seen a later term", nil)
 			return
 		default:
-			l.answered(o, scheduler.Accepted)
+			l.passAnswer(o, scheduler.Accepted)
 			return
 		}
 	}
 }
 
-// linked returns a runner as it is listed now.
-func (l *Leader) linked(id string) (batch.Runner, bool) {
+// listedRunner returns a runner as it is listed now.
+func (l *Leader) listedRunner(id string) (batch.Runner, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.links[id]
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// groupSize is how many records one transaction takes: each needs a
+	// maxRecordsPerTxn is how many records one transaction takes: each needs a
 	// condition and up to two puts, and the term needs a condition.
-	groupSize = (kvstore.MaxTxnEntries - 1) / 3
+	maxRecordsPerTxn = (kvstore.MaxTxnEntries - 1) / 3
 
-	commitTimeout  = 1500 * time.Millisecond // four times the slowest store's answer, direct and through a peer
-	commitRetry    = 50 * time.Millisecond   // doubles up to commitRetryMax
-	commitRetryMax = 250 * time.Millisecond  // four calls a second are little for the store
+	commitTimeout       = 1500 * time.Millisecond // four times the slowest store's answer, direct and through a peer
+	commitRetryDelay    = 50 * time.Millisecond   // doubles up to commitRetryMax
+	commitRetryDelayMax = 250 * time.Millisecond  // four calls a second are little for the store
 )
 
 // recordLoop commits changed records, one group at a time. Each record has one
@@ -32,24 +32,24 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.toRecord:
+		case <-l.recordsDirty:
 		}
-		for l.recordGroup(ctx) {
+		for l.commitGroup(ctx) {
 		}
 	}
 }
 
-// recordGroup commits one group. It returns false when nothing is left.
-func (l *Leader) recordGroup(ctx context.Context) bool {
+// commitGroup commits one group. It returns false when nothing is left.
+func (l *Leader) commitGroup(ctx context.Context) bool {
 	l.mu.Lock()
-	records := l.core.TakeRecords(groupSize)
-	txn, err := l.transaction(records)
+	records := l.core.TakeRecords(maxRecordsPerTxn)
+	txn, err := l.progressTxn(records)
 	l.mu.Unlock()
 	if len(records) == 0 {
 		return false
 	}
 	if err != nil {
-		l.lost("a record can't be encoded", err)
+		l.giveUpTerm("a record can't be encoded", err)
 		return false
 	}
 	revision, ok := l.commit(ctx, txn)
@@ -57,11 +57,11 @@
 		return false
 	}
 	l.noteCommitted(records, txn, revision)
-	signal(l.wake)
+	signal(l.decisionDue)
 	return true
 }
 
-func (l *Leader) transaction(records []scheduler.Record) (kvstore.Txn, error) {
+func (l *Leader) progressTxn(records []scheduler.Record) (kvstore.Txn, error) {
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: ledger.LeaderKey, Revision: l.term.Token}}}
 	for _, r := range records {
 		value, err := ledger.EncodeProgress(r.Progress)
@@ -93,7 +93,7 @@
 
 // commit tries until the outcome is clear or the term ends.
 func (l *Leader) commit(ctx context.Context, txn kvstore.Txn) (uint64, bool) {
-	retry := pause.Backoff{First: commitRetry, Most: commitRetryMax}
+	retry := pause.Backoff{First: commitRetryDelay, Most: commitRetryDelayMax}
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, commitTimeout)
 		revision, err := l.Store.Commit(call, txn)
@@ -103,11 +103,11 @@
 		case err == nil:
 			return revision, true
 		case errors.As(err, &conflict):
-			revision, err = settled(conflict, txn)
+			revision, err = resolveConflict(conflict, txn)
 			if err == nil {
 				return revision, true
 			}
-			l.lost("a record could not be committed", err)
+			l.giveUpTerm("a record could not be committed", err)
 			return 0, false
 		}
 		l.Log.Debug("commit failed; trying again", "records", len(txn.Puts), "err", err)
@@ -116,19 +116,19 @@
 	return 0, false
 }
 
-// settled tells whether a refused transaction had been applied by an earlier
+// resolveConflict tells whether a refused transaction had been applied by an earlier
 // try: every key then has the value that was to be written.
-func settled(conflict *kvstore.ConflictError, txn kvstore.Txn) (uint64, error) {
-	now := make(map[string]kvstore.Item, len(conflict.Items))
+func resolveConflict(conflict *kvstore.ConflictError, txn kvstore.Txn) (uint64, error) {
+	current := make(map[string]kvstore.Item, len(conflict.Items))
 	for _, item := range conflict.Items {
-		now[item.Key] = item
+		current[item.Key] = item
 	}
-	if leader := now[ledger.LeaderKey]; leader.Revision != txn.If[0].Revision {
+	if leader := current[ledger.LeaderKey]; leader.Revision != txn.If[0].Revision {
 		return 0, errors.Wrap(kvstore.ErrHeld, "another host leads")
 	}
 	var revision uint64
 	for _, p := range txn.Puts {
-		item, conditional := now[p.Key]
+		item, conditional := current[p.Key]
 		if !conditional {
 			continue // the state, written together with its record
 		}
--- a/batch/dispatch/speeds.go
+++ b/batch/dispatch/speeds.go
@@ -13,9 +13,9 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// speedsEvery lies between two records of learned speeds: what a takeover may
+// speedsWriteInterval lies between two records of learned speeds: what a takeover may
 // lose is a few runs' worth, and a write every two seconds is little for the store.
-const speedsEvery = 2 * time.Second
+const speedsWriteInterval = 2 * time.Second
 
 // readSpeeds reads what earlier terms learned. A record that can't be read is
 // left out: speeds are learned again within some ten runs.
@@ -37,7 +37,7 @@
 // speedsLoop records what was learned until ctx ends.
 func (l *Leader) speedsLoop(ctx context.Context) {
 	var last []byte
-	for pause.For(ctx, speedsEvery) {
+	for pause.For(ctx, speedsWriteInterval) {
 		value, err := l.encodeSpeeds()
 		if err != nil {
 			l.Log.Error("learned speeds can't be recorded", "err", err)
