--- a/batch/conditions/conditions.go
+++ b/batch/conditions/conditions.go
@@ -80,17 +80,17 @@
 		Reset:  c.resetDocuments,
 		Apply:  c.applyDocuments,
 	}
-	c.reportLoss(&f)
+	c.logStoreLoss(&f)
 	f.Run(ctx)
 }
 
-func (c *Conditions) reportLoss(f *kvstore.Follower) {
+func (c *Conditions) logStoreLoss(f *kvstore.Follower) {
 	f.Lost = func(err error) { c.log.Warn("store lost", "prefix", f.Prefix, "err", err) }
 	f.Regained = func() { c.log.Info("store regained", "prefix", f.Prefix) }
 }
 
 func (c *Conditions) resetDocuments(items []kvstore.Item) {
-	c.setEvacuated(func(domains map[string]bool) { clear(domains) })
+	c.updateEvacuated(func(domains map[string]bool) { clear(domains) })
 	for _, item := range items {
 		c.applyDocument(kvstore.Event{Item: item})
 	}
@@ -104,7 +104,7 @@
 
 func (c *Conditions) applyDocument(e kvstore.Event) {
 	if domain := c.format.EvacuatedDomain(e.Key); domain != "" {
-		c.setEvacuated(func(domains map[string]bool) { setMember(domains, domain, !e.Deleted) })
+		c.updateEvacuated(func(domains map[string]bool) { setMember(domains, domain, !e.Deleted) })
 		c.log.Info("evacuation", "failure-domain", domain, "out", !e.Deleted, "revision", e.Revision)
 		return
 	}
@@ -117,12 +117,12 @@
 		return
 	}
 	if document.Configuration != nil {
-		c.apply(document.Configuration)
+		c.applyConfiguration(document.Configuration)
 	}
 }
 
-// apply puts a configuration in force unless a later one already is.
-func (c *Conditions) apply(config *batch.Configuration) {
+// applyConfiguration puts a configuration in force unless a later one already is.
+func (c *Conditions) applyConfiguration(config *batch.Configuration) {
 	if now := c.configuration.Load(); now != nil && now.Revision >= config.Revision {
 		return
 	}
@@ -131,7 +131,7 @@
 		"queues", len(config.Queues), "organisations", len(config.Organisations))
 }
 
-func (c *Conditions) setEvacuated(change func(map[string]bool)) {
+func (c *Conditions) updateEvacuated(change func(map[string]bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := make(map[string]bool, len(c.evacuated)+1)
--- a/batch/conditions/conditions_test.go
+++ b/batch/conditions/conditions_test.go
@@ -18,10 +18,10 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-func quietLogger() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// plainFormat writes entries as this package's types, in JSON.
-var plainFormat = Format{
+// jsonFormat writes entries as this package's types, in JSON.
+var jsonFormat = Format{
 	OperatorPrefix: "operator/",
 	RunnerPrefix:   "runner/",
 	DecodeDocument: func(item kvstore.Item) (Document, error) {
@@ -68,9 +68,9 @@
 
 // Heartbeats that only move the clock are not passed on; an entry that comes
 // back within the grace was never gone; one that can't be read is no runner.
-func TestRunnerListPassesOnWhatChanges(t *testing.T) {
+func TestRunnerListForwardsOnlyChanges(t *testing.T) {
 	events := &recordedEvents{}
-	l := newRunnerList(context.Background(), plainFormat, 1500*time.Millisecond, quietLogger(), events)
+	l := newRunnerList(context.Background(), jsonFormat, 1500*time.Millisecond, discardLogger(), events)
 	l.reset([]kvstore.Item{runnerItem("i-1", false, 1), runnerItem("i-2", false, 1)})
 	must.Eq(t, [3]int{2, 0, 0}, events.counts())
 	l.apply([]kvstore.Event{{Item: runnerItem("i-1", false, 2)}, {Item: runnerItem("i-1", false, 3)}})
@@ -80,72 +80,72 @@
 	l.apply([]kvstore.Event{deleted("i-1")})
 	l.reset(nil) // i-2 is missing, too
 	l.apply([]kvstore.Event{{Item: runnerItem("i-2", false, 6)}})
-	time.Sleep(missingGrace + 300*time.Millisecond)
+	time.Sleep(unlistGrace + 300*time.Millisecond)
 	must.Eq(t, [3]int{4, 1, 0}, events.counts())
 	l.apply([]kvstore.Event{{Item: kvstore.Item{Key: "runner/i-2", Value: []byte("\x00")}}})
 	must.Eq(t, [3]int{4, 2, 0}, events.counts())
 }
 
-// played is one look at the store: when it was sent and what it brought.
-type played struct {
+// storeRead is one look at the store: when it was sent and what it brought.
+type storeRead struct {
 	sent      time.Duration
 	listed    bool // the prefix is listed, not watched
 	truncated bool // more changes wait than were brought
-	beats     bool // a heartbeat of the runner is among them
+	heartbeat bool // a heartbeat of the runner is among them
 }
 
 // An entry that goes soon after a heartbeat is that of a runner that left. A
 // runner that is only silent may be alive and have done its work, so nothing
 // that hides the silence may look like leaving: gaps, slow answers, changes read
 // late, and entries listed anew.
-func TestRunnerThatLeftIsToldFromASilentOne(t *testing.T) {
-	const beat = 1500 * time.Millisecond
-	watched := func(sent time.Duration) played { return played{sent: sent, beats: true} }
+func TestDepartedRunnerIsDistinguishedFromSilentRunner(t *testing.T) {
+	const heartbeat = 1500 * time.Millisecond
+	watched := func(sent time.Duration) storeRead { return storeRead{sent: sent, heartbeat: true} }
 	for name, test := range map[string]struct {
-		heartbeat time.Duration
-		looks     []played
-		gone      time.Duration // when the entry is seen to be gone
-		want      [3]int
+		heartbeat    time.Duration
+		reads        []storeRead
+		deletionSeen time.Duration // when the entry is seen to be gone
+		want         [3]int
 	}{
-		"left":                {beat, []played{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
-		"left, often watched": {beat, []played{{sent: 0}, watched(time.Second), watched(2 * time.Second), {sent: 3 * time.Second}}, 4500 * time.Millisecond, [3]int{1, 0, 1}},
-		"silent":              {beat, []played{{sent: 0}, watched(time.Second), {sent: 2 * time.Second}}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
-		"gap in watching":     {beat, []played{{sent: 0}, watched(time.Second)}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
-		"short heartbeats":    {beat / 3, []played{{sent: 0}, watched(time.Second)}, 1600 * time.Millisecond, [3]int{1, 0, 0}},
-		"slow answers":        {beat, []played{{sent: 0}, watched(2400 * time.Millisecond)}, 4600 * time.Millisecond, [3]int{1, 0, 0}},
-		"listed anew":         {beat, []played{{sent: 0}, {sent: 3 * time.Second, listed: true, beats: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
-		"read late":           {beat, []played{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
+		"left":                {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
+		"left, often watched": {heartbeat, []storeRead{{sent: 0}, watched(time.Second), watched(2 * time.Second), {sent: 3 * time.Second}}, 4500 * time.Millisecond, [3]int{1, 0, 1}},
+		"silent":              {heartbeat, []storeRead{{sent: 0}, watched(time.Second), {sent: 2 * time.Second}}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
+		"gap in watching":     {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
+		"short heartbeats":    {heartbeat / 3, []storeRead{{sent: 0}, watched(time.Second)}, 1600 * time.Millisecond, [3]int{1, 0, 0}},
+		"slow answers":        {heartbeat, []storeRead{{sent: 0}, watched(2400 * time.Millisecond)}, 4600 * time.Millisecond, [3]int{1, 0, 0}},
+		"listed anew":         {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, listed: true, heartbeat: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
+		"read late":           {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			events := &recordedEvents{}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			l := newRunnerList(ctx, plainFormat, test.heartbeat, quietLogger(), events)
+			l := newRunnerList(ctx, jsonFormat, test.heartbeat, discardLogger(), events)
 			began := steady.Now()
 			l.reset([]kvstore.Item{runnerItem("i-1", true, 1)})
-			for i, look := range test.looks {
-				l.asking(began.Add(look.sent))
+			for i, read := range test.reads {
+				l.readStarted(began.Add(read.sent))
 				item := runnerItem("i-1", true, i+2)
 				switch {
-				case look.listed:
+				case read.listed:
 					l.reset([]kvstore.Item{item})
-				case look.beats:
+				case read.heartbeat:
 					l.apply([]kvstore.Event{{Item: item}})
 				}
-				if look.truncated {
-					l.behind()
+				if read.truncated {
+					l.readTruncated()
 				}
-				l.current()
+				l.readDone()
 			}
-			l.gone("i-1", began.Add(test.gone))
+			l.entryDeleted("i-1", began.Add(test.deletionSeen))
 			must.Eq(t, test.want, events.counts())
 		})
 	}
 }
 
 // A configuration never gives way to an older one, nor to an unreadable one.
-func TestConfigurationNeverReverts(t *testing.T) {
-	c := New(nil, plainFormat, time.Second, quietLogger())
+func TestConfigurationIsNotReplacedByOlderOrUnreadableOne(t *testing.T) {
+	c := New(nil, jsonFormat, time.Second, discardLogger())
 	apply := func(revision uint64, text string) {
 		c.applyDocuments([]kvstore.Event{{Item: kvstore.Item{Key: "operator/configuration", Value: []byte(text), Revision: revision}}})
 	}
--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// missingGrace is how long a runner whose entry is gone is still taken as
+	// unlistGrace is how long a runner whose entry is gone is still taken as
 	// listed: after an outage of the store the entries of live runners come back
 	// within two seconds.
-	missingGrace = 2500 * time.Millisecond
+	unlistGrace = 2500 * time.Millisecond
 
-	// runnerPause batches the runners' heartbeats. A runner that leaves must get
+	// runnerWatchPause batches the runners' heartbeats. A runner that leaves must get
 	// nothing new two seconds after it said so.
-	runnerPause = 200 * time.Millisecond
+	runnerWatchPause = 200 * time.Millisecond
 )
 
 // FollowRunners implements dispatch.Conditions.
@@ -32,15 +32,15 @@
 		Store:  c.store,
 		Prefix: c.format.RunnerPrefix,
 		Wait:   watchWait,
-		Pause:  func() time.Duration { return runnerPause },
+		Pause:  func() time.Duration { return runnerWatchPause },
 		Reset:  l.reset,
 		Apply:  l.apply,
 
-		Asking:  func() { l.asking(steady.Now()) },
-		Current: l.current,
-		Behind:  l.behind,
+		Asking:  func() { l.readStarted(steady.Now()) },
+		Current: l.readDone,
+		Behind:  l.readTruncated,
 	}
-	c.reportLoss(&f)
+	c.logStoreLoss(&f)
 	f.Run(ctx)
 }
 
@@ -53,49 +53,49 @@
 
 	leftWithin time.Duration
 
-	asked     steady.Time            // when the look under way was sent
-	since     steady.Time            // changes that are told now happened later; 0: not known
-	truncated bool                   // the look under way leaves changes out
-	beats     map[string]steady.Time // a time before the last heartbeat of each runner
-	mu        sync.Mutex
-	known     map[string]batch.Runner
+	readSent      steady.Time            // when the look under way was sent
+	changesAfter  steady.Time            // changes that are told now happened later; 0: not known
+	truncated     bool                   // the look under way leaves changes out
+	lastHeartbeat map[string]steady.Time // a time before the last heartbeat of each runner
+	mu            sync.Mutex
+	runners       map[string]batch.Runner
 }
 
 func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, to dispatch.RunnerEvents) *runnerList {
 	return &runnerList{
-		ctx: ctx, format: format, log: logger, to: to, leftWithin: time.Duration(leftWithin * float64(heartbeat)),
-		beats: make(map[string]steady.Time), known: make(map[string]batch.Runner),
+		ctx: ctx, format: format, log: logger, to: to, leftWithin: time.Duration(leftWithinHeartbeats * float64(heartbeat)),
+		lastHeartbeat: make(map[string]steady.Time), runners: make(map[string]batch.Runner),
 	}
 }
 
-// leftWithin is how soon after a heartbeat, in heartbeats, an entry must go for
+// leftWithinHeartbeats is how soon after a heartbeat, in heartbeats, an entry must go for
 // its runner to have left by itself: silence takes three of them, and an entry is
 // removed for no other reason. The rest is for clocks that differ.
-const leftWithin = 2.8
+const leftWithinHeartbeats = 2.8
 
-// asking notes that the store is about to be looked at.
-func (l *runnerList) asking(now steady.Time) { l.asked = now }
+// readStarted notes that the store is about to be looked at.
+func (l *runnerList) readStarted(now steady.Time) { l.readSent = now }
 
-// current notes that the look under way told all that had changed. What the
+// readDone notes that the look under way told all that had changed. What the
 // next one tells happened after this one was sent.
-func (l *runnerList) current() {
-	l.since = l.asked
+func (l *runnerList) readDone() {
+	l.changesAfter = l.readSent
 	if l.truncated {
-		l.since, l.truncated = 0, false
+		l.changesAfter, l.truncated = 0, false
 	}
 }
 
-// behind notes that more changes wait: the next look tells them late.
-func (l *runnerList) behind() { l.truncated = true }
+// readTruncated notes that more changes wait: the next look tells them late.
+func (l *runnerList) readTruncated() { l.truncated = true }
 
 func (l *runnerList) reset(items []kvstore.Item) {
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
 		present[l.format.RunnerID(item.Key)] = true
-		l.put(item)
+		l.putEntry(item)
 	}
-	for _, id := range l.missing(present) {
-		l.remove(id)
+	for _, id := range l.missingFrom(present) {
+		l.unlistAfterGrace(id)
 	}
 }
 
@@ -109,26 +109,26 @@
 		switch {
 		case last[e.Key] != i:
 		case e.Deleted:
-			l.gone(l.format.RunnerID(e.Key), steady.Now())
+			l.entryDeleted(l.format.RunnerID(e.Key), steady.Now())
 		default:
-			if l.put(e.Item) {
-				l.heard(l.format.RunnerID(e.Key))
+			if l.putEntry(e.Item) {
+				l.noteHeartbeat(l.format.RunnerID(e.Key))
 			}
 		}
 	}
 }
 
-// heard notes a heartbeat. The list of all entries tells none: those may be as
+// noteHeartbeat notes a heartbeat. The list of all entries tells none: those may be as
 // old as silence takes.
-func (l *runnerList) heard(id string) {
-	if !l.since.IsZero() {
-		l.beats[id] = l.since
+func (l *runnerList) noteHeartbeat(id string) {
+	if !l.changesAfter.IsZero() {
+		l.lastHeartbeat[id] = l.changesAfter
 	}
 }
 
-// put passes an entry on when it says something new. One that can't be used
-// names no runner, and put returns false.
-func (l *runnerList) put(item kvstore.Item) bool {
+// putEntry passes an entry on when it says something new. One that can't be used
+// names no runner, and putEntry returns false.
+func (l *runnerList) putEntry(item kvstore.Item) bool {
 	r, err := l.format.DecodeRunner(item)
 	if err != nil {
 		l.log.Warn("runner's entry can't be used", "key", item.Key, "revision", item.Revision, "err", err)
@@ -136,8 +136,8 @@
 		return false
 	}
 	l.mu.Lock()
-	old, known := l.known[r.ID]
-	l.known[r.ID] = r
+	old, known := l.runners[r.ID]
+	l.runners[r.ID] = r
 	l.mu.Unlock()
 	old.DrainRemaining = r.DrainRemaining // it shrinks with each heartbeat
 	if known && reflect.DeepEqual(old, r) {
@@ -149,29 +149,29 @@
 	return true
 }
 
-// gone tells a runner that has left from one that is only silent.
-func (l *runnerList) gone(id string, now steady.Time) {
-	beat, seen := l.beats[id]
+// entryDeleted tells a runner that has left from one that is only silent.
+func (l *runnerList) entryDeleted(id string, now steady.Time) {
+	beat, seen := l.lastHeartbeat[id]
 	if !seen || now.Sub(beat) > l.leftWithin {
-		l.remove(id)
+		l.unlistAfterGrace(id)
 		return
 	}
 	l.mu.Lock()
-	delete(l.known, id)
+	delete(l.runners, id)
 	l.mu.Unlock()
-	delete(l.beats, id)
+	delete(l.lastHeartbeat, id)
 	l.log.Info("runner left", "runner", id, "heartbeat-age", now.Sub(beat).Round(time.Millisecond))
 	l.to.Left(id)
 }
 
-// remove takes a runner off the list unless its entry comes back in time.
-func (l *runnerList) remove(id string) {
+// unlistAfterGrace takes a runner off the list unless its entry comes back in time.
+func (l *runnerList) unlistAfterGrace(id string) {
 	l.mu.Lock()
-	delete(l.known, id)
+	delete(l.runners, id)
 	l.mu.Unlock()
-	time.AfterFunc(missingGrace, func() {
+	time.AfterFunc(unlistGrace, func() {
 		l.mu.Lock()
-		_, back := l.known[id]
+		_, back := l.runners[id]
 		l.mu.Unlock()
 		if !back && l.ctx.Err() == nil {
 			l.log.Info("runner gone", "runner", id)
@@ -180,11 +180,11 @@
 	})
 }
 
-func (l *runnerList) missing(present map[string]bool) []string {
+func (l *runnerList) missingFrom(present map[string]bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for id := range l.known {
+	for id := range l.runners {
 		if !present[id] {
 			out = append(out, id)
 		}
