--- a/batch/account/account.go
+++ b/batch/account/account.go
@@ -41,36 +41,36 @@
 	Read  int    // lines read
 }
 
-// around lists the messages that may bear on any job.
-var around = map[string]bool{
+// clusterMessages lists the messages that may bear on any job.
+var clusterMessages = map[string]bool{
 	"term acquired": true, "term ended": true, "term lost: its lease has ended": true, "term lost: another host leads": true,
 	"term given up": true, "term yielded to a stronger host": true, "records read": true, "store lost": true, "store regained": true,
 	"started": true, "stopping": true, "stopped": true, "evacuation": true, "log lines dropped: output too slow": true,
 }
 
 const (
-	maxLineBytes  = 1 << 20
-	progressLines = 200_000 // between two calls of progress
+	maxLineBytes     = 1 << 20
+	progressInterval = 200_000 // between two calls of progress
 )
 
 // Read reads logs and returns the account of a job. Lines may have a prefix
 // before their time. progress, when set, is told how many lines were read.
 func Read(job string, logs []io.Reader, progress func(lines int)) (*Account, error) {
 	a := &Account{Job: job}
-	var context []Line
-	runners := make(map[string]bool)
-	var listings []Line
+	var clusterLines []Line
+	jobRunners := make(map[string]bool)
+	var runnerLines []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
 		scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 		for scanner.Scan() {
 			a.Read++
-			if progress != nil && a.Read%progressLines == 0 {
+			if progress != nil && a.Read%progressInterval == 0 {
 				progress(a.Read)
 			}
 			text := scanner.Bytes()
 			about := bytes.Contains(text, []byte(job))
-			if !about && !mayBear(text) {
+			if !about && !namesNoJob(text) {
 				continue
 			}
 			line, ok := parse(text)
@@ -78,25 +78,25 @@
 			case !ok:
 			case about:
 				a.Lines = append(a.Lines, line)
-				runners[line.Get("runner")] = true
+				jobRunners[line.Get("runner")] = true
 			case line.What == "runner" || line.What == "runner gone":
-				listings = append(listings, line)
-			case around[line.What]:
-				context = append(context, line)
+				runnerLines = append(runnerLines, line)
+			case clusterMessages[line.What]:
+				clusterLines = append(clusterLines, line)
 			}
 		}
 		if err := scanner.Err(); err != nil {
 			return nil, errors.Wrapf(err, "line %d of the logs", a.Read+1)
 		}
 	}
-	a.add(context, func(Line) bool { return true })
-	a.add(listings, func(l Line) bool { return runners[l.Get("runner")] })
+	a.addWithinJobTime(clusterLines, func(Line) bool { return true })
+	a.addWithinJobTime(runnerLines, func(l Line) bool { return jobRunners[l.Get("runner")] })
 	sort.SliceStable(a.Lines, func(i, j int) bool { return a.Lines[i].Time < a.Lines[j].Time })
 	return a, nil
 }
 
-// add takes lines between the first and the last about the job.
-func (a *Account) add(lines []Line, wanted func(Line) bool) {
+// addWithinJobTime takes lines between the first and the last about the job.
+func (a *Account) addWithinJobTime(lines []Line, wanted func(Line) bool) {
 	if len(a.Lines) == 0 {
 		return
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// mayBear reports, without decoding it, whether a line can be about no job in particular.
-func mayBear(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
+// namesNoJob reports, without decoding it, whether a line can be about no job in particular.
+func namesNoJob(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
 
 func parse(text []byte) (Line, bool) {
 	start := bytes.Index(text, []byte("time="))
@@ -143,8 +143,8 @@
 	}
 }
 
-// quiet are fields that say nothing where they have these values.
-var quiet = map[string]string{"occurrence": "0", "waited": "0s", "factor": "0", "work": "0s", "reason": ""}
+// omittedValues are fields that say nothing where they have these values.
+var omittedValues = map[string]string{"occurrence": "0", "waited": "0s", "factor": "0", "work": "0s", "reason": ""}
 
 // String returns the account as text, a line each.
 func (a *Account) String() string {
@@ -155,7 +155,7 @@
 	for _, l := range a.Lines {
 		out.WriteString(l.Time + "  " + l.Host + "  " + l.What)
 		for _, f := range l.Fields {
-			if value, ok := quiet[f.Key]; f.Key == "job" && f.Value == a.Job || ok && value == f.Value {
+			if value, ok := omittedValues[f.Key]; f.Key == "job" && f.Value == a.Job || ok && value == f.Value {
 				continue
 			}
 			out.WriteString("  " + f.Key + "=" + f.Value)
--- a/batch/account/account_test.go
+++ b/batch/account/account_test.go
@@ -26,7 +26,7 @@
 `
 )
 
-func TestAccountMergesHostsInOrder(t *testing.T) {
+func TestAccountMergesHostLogsInTimeOrder(t *testing.T) {
 	a, err := account.Read("00ff", []io.Reader{strings.NewReader(hostB), strings.NewReader(hostA)}, nil)
 	must.NoError(t, err)
 	must.Eq(t, strings.Join([]string{
@@ -39,22 +39,22 @@
 	must.Eq(t, 9, a.Read)
 }
 
-func TestAccountOfAnUnknownJobSaysWhatToDo(t *testing.T) {
+func TestAccountOfUnknownJobAsksForLogsOfEveryHost(t *testing.T) {
 	a, err := account.Read("0bad", []io.Reader{strings.NewReader(hostA)}, nil)
 	must.NoError(t, err)
 	must.StrContains(t, a.String(), "give the logs of every host")
 }
 
 // A million lines are read whole, with progress told.
-func TestAccountOfAMillionLines(t *testing.T) {
+func TestReadReportsProgressOverAMillionLines(t *testing.T) {
 	var log bytes.Buffer
 	for i := range 1_000_000 {
 		fmt.Fprintf(&log, "time=2026-01-01T00:00:%02d.%03dZ level=info msg=end host=a job=%016x task=1 reason=done\n", i/20_000, i%1000, i)
 	}
-	told := 0
-	a, err := account.Read("000000000000beef", []io.Reader{&log}, func(int) { told++ })
+	progressCalls := 0
+	a, err := account.Read("000000000000beef", []io.Reader{&log}, func(int) { progressCalls++ })
 	must.NoError(t, err)
 	must.Len(t, 1, a.Lines)
 	must.Eq(t, 1_000_000, a.Read)
-	must.Eq(t, 5, told)
+	must.Eq(t, 5, progressCalls)
 }
--- a/batch/ledger/ledger.go
+++ b/batch/ledger/ledger.go
@@ -78,10 +78,10 @@
 
 // Entry is what is known of one job.
 type Entry struct {
-	Job           *batch.Job
-	RecordedState batch.State // as the leader recorded it last; empty: nothing recorded
-	revision      uint64      // of Recorded
-	Cancelled     bool
+	Job              *batch.Job
+	RecordedState    batch.State // as the leader recorded it last; empty: nothing recorded
+	recordedRevision uint64      // of Recorded
+	Cancelled        bool
 }
 
 // State returns the job's state as callers see it.
@@ -120,12 +120,12 @@
 type Replica struct {
 	log *log.Logger
 
-	mu      sync.Mutex
-	jobs    map[string]*Entry
-	hosts   map[string]Host // by name
-	leader  Leader
-	loaded  bool
-	watches []chan struct{}
+	mu       sync.Mutex
+	jobs     map[string]*Entry
+	hosts    map[string]Host // by name
+	leader   Leader
+	loaded   bool
+	watchers []chan struct{}
 }
 
 // NewReplica returns an empty copy.
@@ -138,7 +138,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := make(chan struct{}, 1)
-	r.watches = append(r.watches, c)
+	r.watchers = append(r.watchers, c)
 	return c
 }
 
@@ -150,10 +150,10 @@
 	r.hosts = make(map[string]Host, len(r.hosts))
 	r.leader = Leader{}
 	for _, item := range items {
-		r.put(item)
+		r.putItem(item)
 	}
 	r.loaded = true
-	r.signal()
+	r.notifyWatchers()
 }
 
 // Apply applies changes in order.
@@ -162,16 +162,16 @@
 	defer r.mu.Unlock()
 	for _, e := range events {
 		if e.Deleted {
-			r.remove(e.Item)
+			r.removeItem(e.Item)
 			continue
 		}
-		r.put(e.Item)
+		r.putItem(e.Item)
 	}
-	r.signal()
+	r.notifyWatchers()
 }
 
-func (r *Replica) signal() {
-	for _, c := range r.watches {
+func (r *Replica) notifyWatchers() {
+	for _, c := range r.watchers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -179,7 +179,7 @@
 	}
 }
 
-func (r *Replica) put(item kvstore.Item) {
+func (r *Replica) putItem(item kvstore.Item) {
 	switch {
 	case item.Key == LeaderKey:
 		r.leader = Leader{Value: string(item.Value), Revision: item.Revision}
@@ -188,12 +188,12 @@
 	case strings.HasPrefix(item.Key, jobPrefix):
 		r.putJob(item)
 	case strings.HasPrefix(item.Key, statePrefix):
-		e := r.entry(strings.TrimPrefix(item.Key, statePrefix))
-		if item.Revision >= e.revision {
-			e.RecordedState, e.revision = batch.State(item.Value), item.Revision
+		e := r.entryOrNew(strings.TrimPrefix(item.Key, statePrefix))
+		if item.Revision >= e.recordedRevision {
+			e.RecordedState, e.recordedRevision = batch.State(item.Value), item.Revision
 		}
 	case strings.HasPrefix(item.Key, cancelPrefix):
-		r.entry(strings.TrimPrefix(item.Key, cancelPrefix)).Cancelled = true
+		r.entryOrNew(strings.TrimPrefix(item.Key, cancelPrefix)).Cancelled = true
 	}
 }
 
@@ -207,7 +207,7 @@
 }
 
 func (r *Replica) putJob(item kvstore.Item) {
-	e := r.entry(strings.TrimPrefix(item.Key, jobPrefix))
+	e := r.entryOrNew(strings.TrimPrefix(item.Key, jobPrefix))
 	if e.Job != nil {
 		return // a job doesn't change
 	}
@@ -219,7 +219,7 @@
 	e.Job = &job
 }
 
-func (r *Replica) entry(id string) *Entry {
+func (r *Replica) entryOrNew(id string) *Entry {
 	e := r.jobs[id]
 	if e == nil {
 		e = &Entry{}
@@ -228,7 +228,7 @@
 	return e
 }
 
-func (r *Replica) remove(item kvstore.Item) {
+func (r *Replica) removeItem(item kvstore.Item) {
 	switch {
 	case item.Key == LeaderKey:
 		r.leader = Leader{}
@@ -243,18 +243,18 @@
 func (r *Replica) AddJob(job *batch.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e := r.entry(job.ID); e.Job == nil {
+	if e := r.entryOrNew(job.ID); e.Job == nil {
 		e.Job = job
 	}
-	r.signal()
+	r.notifyWatchers()
 }
 
 // MarkCancelled marks a job whose cancellation this host has just stored.
 func (r *Replica) MarkCancelled(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.entry(id).Cancelled = true
-	r.signal()
+	r.entryOrNew(id).Cancelled = true
+	r.notifyWatchers()
 }
 
 // Loaded reports whether the copy was ever whole.
