--- a/batch/batch.go
+++ b/batch/batch.go
@@ -1,6 +1,7 @@
-// Package batch holds the model of batch jobs: steps of tasks that depend on
-// one another and run on a service's runners, and the configuration they run
-// under. It has no behaviour beyond its own invariants.
+// Package batch defines the data model of batch jobs, shared by intake,
+// scheduling, storage and the platform adapter: jobs whose steps depend on one
+// another and whose tasks run on the runners of a service, what runners report,
+// and the configuration in force. It holds no state of its own.
 package batch
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Resources are what a task asks for and what a runner offers.
+// Resources are the resources that a task requests or that a runner offers.
 type Resources struct {
 	MilliCPU     int64 `json:"cpu,omitempty"`    // thousandths of a core
 	MemoryMB     int64 `json:"memory,omitempty"` // megabytes
@@ -31,27 +32,27 @@
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
-// Step is a number of equal tasks.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Tasks             int           `json:"tasks"`
 	Request           Resources     `json:"request"` // of one task
 	Estimate          time.Duration `json:"estimate,omitempty"`
-	After             []int         `json:"after,omitempty"` // earlier steps that must be done first
+	After             []int         `json:"after,omitempty"` // indexes of earlier steps that must be done first
 	Checkpoints       bool          `json:"checkpoints,omitempty"`
-	Gang              bool          `json:"gang,omitempty"`        // the tasks run at the same time or not at all
-	SameRack          bool          `json:"sameRack,omitempty"`    // slow when spread over racks
-	Label             string        `json:"label,omitempty"`       // a label that the runner must have
-	DataRack          string        `json:"dataRack,omitempty"`    // slow on any other rack
-	PerRunner         int           `json:"perRunner,omitempty"`   // most tasks of the step on one runner; 0: no limit
-	Speculative       bool          `json:"speculative,omitempty"` // copies may run in parallel
+	Gang              bool          `json:"gang,omitempty"`        // all tasks run at the same time or none runs
+	SameRack          bool          `json:"sameRack,omitempty"`    // the step is slower when its tasks are spread over racks
+	Label             string        `json:"label,omitempty"`       // label that the runner must have
+	DataRack          string        `json:"dataRack,omitempty"`    // rack of the input data; tasks are slower on any other rack
+	PerRunner         int           `json:"perRunner,omitempty"`   // maximum number of the step's tasks on one runner; 0: no limit
+	Speculative       bool          `json:"speculative,omitempty"` // copies of a task may run in parallel
 	LongRunning       bool          `json:"longRunning,omitempty"` // runs until the job is cancelled
-	UsesIdleCPU       bool          `json:"fills,omitempty"`       // uses the CPU that others leave
-	TailLatencyTarget time.Duration `json:"tailTarget,omitempty"`  // of the response times of a step that serves users; 0: it serves none
-	MaxUnavailable    int           `json:"mayMiss,omitempty"`     // most tasks away at once by our own doing
+	UsesIdleCPU       bool          `json:"fills,omitempty"`       // tasks reserve no CPU and use what other tasks leave idle
+	TailLatencyTarget time.Duration `json:"tailTarget,omitempty"`  // target for the tail of response times of a step that serves users; 0: it serves none
+	MaxUnavailable    int           `json:"mayMiss,omitempty"`     // maximum number of tasks that the scheduler itself may make unavailable at once
 }
 
-// ReservedResources returns what one task takes of its runner's capacity: a filler's CPU is
-// what others leave.
+// ReservedResources returns what one task takes of its runner's capacity. A
+// task that uses idle CPU reserves no CPU.
 func (s *Step) ReservedResources() Resources {
 	r := s.Request
 	if s.UsesIdleCPU {
@@ -63,36 +64,38 @@
 // ServesUsers reports whether the step's tasks serve users.
 func (s *Step) ServesUsers() bool { return s.TailLatencyTarget > 0 }
 
-// Schedule says when a job's steps run; without one they run once, at once.
+// Schedule says when a job's steps run. Without a schedule they run once and
+// may start immediately.
 type Schedule struct {
 	Occurrences int           `json:"occurrences"`
 	First       time.Time     `json:"first"`
 	Interval    time.Duration `json:"interval"`
 }
 
-// AdviceTimes is how an adviser answers that says which runners may run a step.
+// AdviceTimes are the expected times of the adviser, which says which runners may
+// run a step.
 type AdviceTimes struct {
-	DecisionTime   time.Duration `json:"decide"` // it takes for one question
-	TimePerRunner  time.Duration `json:"each"`   // and for each runner named
-	TicketValidity time.Duration `json:"valid"`  // how long a ticket is valid
+	DecisionTime   time.Duration `json:"decide"` // time to answer one question
+	TimePerRunner  time.Duration `json:"each"`   // added for each runner named in the question
+	TicketValidity time.Duration `json:"valid"`  // lifetime of a ticket
 }
 
-// Approval is an adviser's answer.
+// Approval is the adviser's answer to a question.
 type Approval struct {
-	Tickets map[string]string // by runner; one that is missing may not run the step
-	Valid   time.Duration
+	Tickets map[string]string // by runner ID; a runner without a ticket may not run the step
+	Valid   time.Duration     // lifetime of the tickets, from when the question was sent
 }
 
-// Job is an accepted job. It doesn't change after it was accepted.
+// Job is an accepted job. It is immutable.
 type Job struct {
 	ID            string        `json:"id"`
 	Queue         string        `json:"queue"`
 	Organisation  string        `json:"organisation"`
 	Service       string        `json:"service"`
 	Spec          string        `json:"spec"`
-	Priority      int           `json:"priority"` // 0 comes first
+	Priority      int           `json:"priority"` // 0 is the highest
 	MaxAttempts   int           `json:"maxAttempts"`
-	Stretch       float64       `json:"stretch"` // target completion time over the longest chain of work
+	Stretch       float64       `json:"stretch"` // target completion time as a multiple of the longest chain of work
 	TargetLatency time.Duration `json:"targetLatency"`
 	Steps         []Step        `json:"steps"`
 	Schedule      *Schedule     `json:"schedule,omitempty"`
@@ -108,7 +111,7 @@
 	return j.Schedule.Occurrences
 }
 
-// Due returns when occurrence k may start.
+// Due returns the time from which occurrence k may start; zero: at once.
 func (j *Job) Due(k int) time.Time {
 	if j.Schedule == nil {
 		return time.Time{}
@@ -116,8 +119,8 @@
 	return j.Schedule.First.Add(time.Duration(k) * j.Schedule.Interval)
 }
 
-// MaxAccelerators returns the most accelerators that the job's steps hold at once
-// if every step runs by itself.
+// MaxAccelerators returns the largest number of accelerators that any one step
+// of the job uses when all its tasks run at once.
 func (j *Job) MaxAccelerators() int64 {
 	var most int64
 	for _, s := range j.Steps {
@@ -126,7 +129,7 @@
 	return most
 }
 
-// State of a job, as callers see it.
+// State is the state of a job, as callers see it.
 type State string
 
 // The states of a job.
@@ -141,7 +144,7 @@
 // Final reports whether a job in this state has ended.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -149,25 +152,26 @@
 	Index      int
 }
 
-// TaskProgress is what is recorded of one task.
+// TaskProgress is the recorded progress of one task.
 type TaskProgress struct {
 	Occurrence int    `json:"k,omitempty"`
 	Step       int    `json:"s,omitempty"`
 	Index      int    `json:"i,omitempty"`
 	Done       bool   `json:"d,omitempty"`
 	Failures   int    `json:"f,omitempty"`
-	Attempt    int    `json:"a,omitempty"` // the highest attempt that may have started
-	Runner     string `json:"r,omitempty"` // where that attempt may run; empty: it has ended
+	Attempt    int    `json:"a,omitempty"` // highest attempt that may have started
+	Runner     string `json:"r,omitempty"` // runner on which that attempt may be running; empty: it has ended
 	Checkpoint string `json:"c,omitempty"`
 }
 
-// Progress is the record of a job that the scheduler keeps in the store.
+// Progress is the record of a job's progress that the scheduler keeps in the
+// store.
 type Progress struct {
 	State State          `json:"state"`
-	Tasks []TaskProgress `json:"tasks,omitempty"` // only tasks with something to tell
+	Tasks []TaskProgress `json:"tasks,omitempty"` // only tasks that were attempted or are done
 }
 
-// Queue takes jobs under one host name and path prefix.
+// Queue accepts jobs under one host name and path prefix.
 type Queue struct {
 	Name          string
 	Host          string
@@ -177,28 +181,28 @@
 	MaxAttempts   int
 	Stretch       float64
 	TargetLatency time.Duration
-	Public        bool
-	Advice        *AdviceTimes // nil: its jobs need none
+	Public        bool         // accepts jobs without the key of an organisation
+	Advice        *AdviceTimes // nil: its jobs need no approval
 }
 
 // Service is a pool of runners.
 type Service struct {
 	Name             string
-	AdmissionControl bool // its runners refuse what doesn't fit
+	AdmissionControl bool // its runners refuse tasks that exceed their free capacity
 	Standby          bool
 }
 
-// Organisation holds keys and a guarantee.
+// Organisation owns API keys and has guaranteed resources.
 type Organisation struct {
 	Name       string
 	Keys       []string
 	Guaranteed Resources
 }
 
-// Configuration is one version of what operators have set, whole.
+// Configuration is one complete version of the operators' configuration.
 type Configuration struct {
 	Version       int64
-	Revision      uint64 // of the store's entry
+	Revision      uint64 // of its entry in the store
 	Queues        []Queue
 	Services      []Service
 	Organisations []Organisation
@@ -242,32 +246,33 @@
 	Labels         []string
 	Draining       bool
 	DrainRemaining time.Duration
-	Born           int64 // Unix milliseconds of its start; names its incarnation
+	Born           int64 // start time in Unix milliseconds; identifies the incarnation
 }
 
-// EndReason says how a run ended.
+// EndReason says why a run ended.
 type EndReason string
 
-// The ends of a run.
+// The reasons for which a run ends.
 const (
 	EndDone            EndReason = "done"
 	EndFailed          EndReason = "failed"
 	EndStopped         EndReason = "stopped"
-	EndLeaseExpired    EndReason = "lapsed" // its lease ran out
-	EndGangMemberEnded EndReason = "broken" // another member of its gang ended
-	EndGangTimeout     EndReason = "alone"  // its gang did not come together in time
+	EndLeaseExpired    EndReason = "lapsed" // the runner's lease expired
+	EndGangMemberEnded EndReason = "broken" // another member of the gang ended
+	EndGangTimeout     EndReason = "alone"  // the gang was not complete in time
 )
 
-// RunningTask is one row of a runner's list of what it runs.
+// RunningTask is an entry of a runner's list of running tasks.
 type RunningTask struct {
 	Task       TaskID
 	Attempt    int
 	Checkpoint string
 	Percent    int
-	Reading    int // tail latency in ms for a task that serves, thousandths of a core in use otherwise
+	Reading    int // tail latency in ms for a task that serves users; CPU use in thousandths of a core for others
 }
 
-// EndedTask is one row of a runner's list of ends that were not acknowledged.
+// EndedTask is an entry of a runner's list of ended runs that the leader has not
+// acknowledged.
 type EndedTask struct {
 	Sequence   int64
 	Task       TaskID
@@ -279,7 +284,7 @@
 // Report is a runner's answer to a hold.
 type Report struct {
 	Born    int64
-	Clock   time.Duration // of the runner, since its start
+	Clock   time.Duration // the runner's clock: time since its start
 	Running []RunningTask
 	Ended   []EndedTask
 }
