--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// adviceGrace is how much longer than it says the adviser may take: its
-	// answers wait for each other, and a slow link is slower.
+	// adviceGrace is the allowance beyond the adviser's stated times: its answers
+	// queue behind one another, and a slow link adds latency.
 	adviceGrace = time.Second
 
-	// routeBackoff is how long a host through which no answer came isn't used:
-	// about as long as a cut lasts.
+	// routeBackoff is how long a host isn't used after a question through it
+	// failed: about the duration of a network partition.
 	routeBackoff = 3 * time.Second
 )
 
-// AdviceArgs has a host ask the adviser.
+// AdviceArgs are the arguments of AdviceService.Ask.
 type AdviceArgs struct {
 	Job        string
 	Occurrence int
@@ -35,10 +35,11 @@
 // TakeContext implements peer.ContextTaker.
 func (a *AdviceArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
 
-// AdviceService asks the adviser for other hosts. It is registered as "Advice".
+// AdviceService lets the leader on another host ask the adviser through this
+// host. It is registered as "Advice".
 type AdviceService struct{ Adviser Adviser }
 
-// Ask brings the adviser's answer.
+// Ask forwards a question to the adviser and returns its answer.
 func (s *AdviceService) Ask(args *AdviceArgs, reply *batch.Approval) (err error) {
 	ctx := args.ctx
 	if ctx == nil {
@@ -48,26 +49,27 @@
 	return err
 }
 
-// AdviserRoutes are the ways to the adviser. It answers one question at a time for
-// each host that asks, so the leader has all hosts ask.
+// AdviserRoutes are the hosts through which the leader asks the adviser. The
+// adviser answers one question at a time for each host, so the leader sends
+// questions through all of them.
 type AdviserRoutes struct {
-	Local Adviser         // nil: nobody is asked
-	Peers peer.Caller     // to the other hosts
-	Hosts func() []string // their addresses
+	Local Adviser         // asked by this host; nil: there is no adviser
+	Peers peer.Caller     // calls the other hosts
+	Hosts func() []string // returns the other hosts' addresses
 }
 
-// adviserRoute is a host that asks for the leader. Its fields are guarded by the
-// leader's mu.
+// adviserRoute is the state of one host that asks the adviser for the leader. Its
+// fields are guarded by Leader.mu.
 type adviserRoute struct {
-	busy         bool        // with a question
-	backoffUntil steady.Time // until when it isn't used
+	busy         bool        // a question is in flight
+	backoffUntil steady.Time // not used before this time
 }
 
-// localAddress stands for the leader itself among the askers.
+// localAddress stands for the leader's own host in Leader.routes.
 const localAddress = ""
 
-// adviceLoop has questions asked until ctx ends. A decision is made on each
-// answer before more are given out.
+// adviceLoop sends questions to the adviser until ctx ends. Each answer triggers
+// a decision before further questions are sent.
 func (l *Leader) adviceLoop(ctx context.Context) {
 	for {
 		select {
@@ -83,21 +85,21 @@
 	}
 }
 
-// askVia gives the host at address a question, if it is free. It returns
-// false when none is due.
+// askVia sends the next question through the host at address, unless the host is
+// busy or backed off. It returns false when no question is due.
 func (l *Leader) askVia(ctx context.Context, address string) bool {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	through := l.route(address)
-	if through.busy || now.Before(through.backoffUntil) {
+	route := l.route(address)
+	if route.busy || now.Before(route.backoffUntil) {
 		return true
 	}
 	q, due := l.core.Ask(now)
 	if !due {
 		return false
 	}
-	through.busy = true
+	route.busy = true
 	l.background.Go(func() {
 		l.askAdviser(ctx, q, address)
 		signal(l.decisionDue)
@@ -105,7 +107,7 @@
 	return true
 }
 
-// route returns the host at address. The caller holds mu.
+// route returns the state of the host at address. The caller holds mu.
 func (l *Leader) route(address string) *adviserRoute {
 	if l.routes[address] == nil {
 		l.routes[address] = &adviserRoute{}
@@ -124,10 +126,10 @@
 		"approved", len(approval.Tickets), "valid", approval.Valid, "took", now.Sub(asked).Round(time.Millisecond), "err", err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	through := l.route(address)
-	through.busy = false
+	route := l.route(address)
+	route.busy = false
 	if err != nil {
-		through.backoffUntil = now.Add(routeBackoff)
+		route.backoffUntil = now.Add(routeBackoff)
 		l.core.NotAdvised(q, now)
 		return
 	}
--- a/batch/dispatch/election.go
+++ b/batch/dispatch/election.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	// termTTL is the lease of a term: a dead leader is replaced after it, and a
-	// leader without the store gives no starts after it.
+	// termTTL is the lease duration of a term: a failed leader is replaced after
+	// it, and a leader that can't reach the store sends no starts after it.
 	termTTL = 2 * time.Second
 
 	renewInterval  = termTTL / 4
-	renewTimeout   = 900 * time.Millisecond  // above the slowest store, below what is left of the lease
-	termMargin     = 200 * time.Millisecond  // for the way of a call and for timers that fire late
-	acquireJitter  = 120 * time.Millisecond  // spreads the candidates when a term ends
-	acquireTimeout = 1500 * time.Millisecond // two calls of a slow store
-
-	// minTermBeforeYield is how long a host leads before it yields to a much stronger
-	// one, and yieldAgain how long until it may yield again: the stronger one may
-	// be listed and gone.
+	renewTimeout   = 900 * time.Millisecond  // above the slowest store's latency, below the remaining lease
+	termMargin     = 200 * time.Millisecond  // for call latency and timers that fire late
+	acquireJitter  = 120 * time.Millisecond  // spreads the candidates' attempts when a term ends
+	acquireTimeout = 1500 * time.Millisecond // two calls to a slow store
+
+	// minTermBeforeYield is how long a host leads before it may yield to a much
+	// stronger one. yieldCooldown is how long after that it may not yield again: the
+	// stronger host may still be listed although it is gone.
 	minTermBeforeYield = 1500 * time.Millisecond
 	yieldCooldown      = 20 * time.Second
 
-	// yieldMinDelay is the delay before seeking the term from which a host counts
-	// as much weaker than the strongest.
+	// yieldMinDelay is the AcquireDelay from which a host counts as much weaker
+	// than the strongest one.
 	yieldMinDelay = 300 * time.Millisecond
 )
 
-// Term is one host's authority to schedule. It is safe for concurrent use.
+// Term is one host's authority to schedule, backed by a lease in the store. It is
+// safe for concurrent use.
 type Term struct {
-	Token uint64 // of the store; higher than that of every earlier term
-	lease uint64
+	Token uint64 // fencing token: the store's revision, higher than in every earlier term
+	lease uint64 // ID in the store
 
 	mu      sync.Mutex
-	renewed steady.Time // when the last renewal that succeeded was sent
+	renewed steady.Time // when the last successful renewal was sent
 	ended   bool
 	cancel  context.CancelFunc
 }
@@ -56,15 +57,16 @@
 	return !t.ended && steady.Now().Before(t.renewed.Add(termTTL-termMargin))
 }
 
-// RunnerLeaseLimit is the latest time to which runners' leases may be extended: a
-// later leader waits for just this long for a runner that it can't reach.
+// RunnerLeaseLimit returns the latest time to which a runner's lease of the given
+// duration may be extended. A later leader waits only this long for a runner that
+// it can't reach.
 func (t *Term) RunnerLeaseLimit(lease time.Duration) steady.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.renewed.Add(termTTL + lease)
 }
 
-// End gives the term up.
+// End ends the term on this host and cancels its scheduling.
 func (t *Term) End() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,19 +74,19 @@
 	t.cancel()
 }
 
-// Candidate seeks the term and leads while it has it.
+// Candidate competes for the term and leads while it holds it.
 type Candidate struct {
 	Store        kvstore.Keyspace
 	Replica      *ledger.Replica
 	Host         string
 	Log          *log.Logger
 	Lead         func(ctx context.Context, t *Term)
-	AcquireDelay func() time.Duration // before the term is sought; nil: none
+	AcquireDelay func() time.Duration // wait before each attempt to acquire the term; nil: none
 
-	lastYield steady.Time // when it last gave the term up for a stronger host
+	lastYield steady.Time // when this host last yielded to a stronger one
 }
 
-// Run seeks the term until ctx ends, and gives it up then.
+// Run competes for the term until ctx ends, and then gives it up.
 func (c *Candidate) Run(ctx context.Context) {
 	changed := c.Replica.Watch()
 	for ctx.Err() == nil {
@@ -144,7 +146,8 @@
 	return &Term{Token: revision, lease: grant.ID, renewed: began}, nil
 }
 
-// readBackTerm reads back whether a commit without an answer took the term.
+// readBackTerm reads whether a commit with an unclear outcome acquired the term. It
+// returns the term's token.
 func (c *Candidate) readBackTerm(ctx context.Context, value string) (uint64, error) {
 	item, err := c.Store.Get(ctx, ledger.LeaderKey)
 	if err != nil {
@@ -170,11 +173,12 @@
 	revoke, done := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
 	defer done()
 	if err := c.Store.Revoke(revoke, t.lease); err != nil && !errors.Is(err, kvstore.ErrLeaseLost) {
-		c.Log.Warn("term's lease not revoked; it lapses by itself", "token", t.Token, "err", err)
+		c.Log.Warn("term's lease not revoked; it will expire", "token", t.Token, "err", err)
 	}
 }
 
-// shouldYield reports whether to give the term up for a much stronger host.
+// shouldYield reports whether this host should yield the term to a much stronger
+// one.
 func (c *Candidate) shouldYield(began, now steady.Time) bool {
 	if c.acquireDelay() < yieldMinDelay || now.Sub(began) < minTermBeforeYield {
 		return false
@@ -182,8 +186,8 @@
 	return c.lastYield.IsZero() || now.Sub(c.lastYield) > yieldCooldown
 }
 
-// renewTerm extends the term until it is lost. A store that does not answer does
-// not end it: the lease may be paused there.
+// renewTerm renews the term's lease until the term ends. A store that doesn't
+// answer doesn't end the term: it may have paused the lease.
 func (c *Candidate) renewTerm(ctx context.Context, t *Term) {
 	began := steady.Now()
 	for pause.For(ctx, renewInterval) {
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -20,35 +20,40 @@
 )
 
 const (
-	// decideInterval bounds how late a decision that only time brings is taken.
+	// decideInterval bounds the delay of decisions that become due only by the
+	// passage of time.
 	decideInterval = 100 * time.Millisecond
 
-	// minDecidePause lies between two decisions, so that a burst is decided at once.
+	// minDecidePause is the shortest pause between two decisions, so that a burst of
+	// changes is handled in one decision.
 	minDecidePause = 5 * time.Millisecond
 
-	// decidePauseFactor keeps decisions from taking more than a third of the processor.
+	// decidePauseFactor is the shortest pause after a decision as a multiple of the
+	// decision's duration. It keeps decisions from taking more than a third of the
+	// processor.
 	decidePauseFactor = 2
 
-	loadTimeout    = 3 * time.Second        // a few pages of a slow store
-	loadRetryDelay = 100 * time.Millisecond // nothing else can be done meanwhile
+	loadTimeout    = 3 * time.Second        // reads a few pages from a slow store
+	loadRetryDelay = 100 * time.Millisecond // short: the leader can do nothing else meanwhile
 )
 
-// Conditions is what operators and runners say, as the host follows it.
+// Conditions gives the leader the operators' documents and the runners' entries,
+// as the host follows them in the store.
 type Conditions interface {
 	Configuration() *batch.Configuration // nil: none yet
 	Evacuated() map[string]bool
-	// FollowRunners tells of runners until ctx ends.
+	// FollowRunners reports changes of the runners until ctx ends.
 	FollowRunners(ctx context.Context, to RunnerEvents)
 }
 
-// RunnerEvents takes what is said of runners. It is safe for concurrent use.
+// RunnerEvents receives changes of the runners. It is safe for concurrent use.
 type RunnerEvents interface {
-	Listed(r batch.Runner) // it is there, or says something new of itself
-	Unlisted(id string)    // it is silent, or its entry can't be used; it may still run tasks
-	Left(id string)        // it has ended, and so has all that ran on it
+	Listed(r batch.Runner) // the runner is new or its entry has changed
+	Unlisted(id string)    // it sends no heartbeats or its entry is invalid; it may still run tasks
+	Left(id string)        // it has ended, and so have all its tasks
 }
 
-// Options of a Leader.
+// Options are the dependencies and limits of a Leader.
 type Options struct {
 	Store         kvstore.Keyspace
 	Replica       *ledger.Replica
@@ -56,35 +61,36 @@
 	AdviserRoutes AdviserRoutes
 	Conditions    Conditions
 	Log           *log.Logger
-	Metrics       *metrics.Set     // nil: nothing is counted
-	Now           func() time.Time // time of day, without jumps
+	Metrics       *metrics.Set     // nil: no metrics
+	Now           func() time.Time // returns the time of day; it never jumps
 
-	RunnerLease  time.Duration // of what runs on a runner
-	Cores        float64       // of processor time of this host
-	Early        time.Duration
-	RemoteFactor float64
+	RunnerLease  time.Duration // lease of a runner, which all its tasks share
+	Cores        float64       // processor cores that this host may use
+	Early        time.Duration // how early an occurrence may start
+	RemoteFactor float64       // slow-down of tasks away from their gang's rack or their data
 }
 
-// Leader schedules during one term.
+// Leader schedules during one term. It owns the scheduler's core and one
+// runnerLink for each runner.
 type Leader struct {
 	Options
 	term *Term
 
-	mu        sync.Mutex // guards the core and the maps
+	mu        sync.Mutex // guards core and the maps
 	core      *scheduler.Core
-	revisions map[string]uint64      // of the progress record of each job
-	states    map[string]batch.State // as callers are told
-	links     map[string]*runnerLink
-	routes    map[string]*adviserRoute // by address
+	revisions map[string]uint64        // by job: revision of its progress record in the store
+	states    map[string]batch.State   // by job: state that callers see, as last committed
+	links     map[string]*runnerLink   // by runner ID
+	routes    map[string]*adviserRoute // by host address
 
-	decisionDue  chan struct{} // something may be decided
-	recordsDirty chan struct{} // a record changed
-	adviceDue    chan struct{} // a question for the adviser may be due
+	decisionDue  chan struct{} // an event may allow a decision
+	recordsDirty chan struct{} // a progress record changed
+	adviceDue    chan struct{} // a question to the adviser may be due
 	committed    chan struct{} // closed and replaced after each commit; guarded by mu
 	background   sync.WaitGroup
 }
 
-// Lead schedules until ctx ends, which the end of the term brings about too.
+// Lead schedules until ctx ends. The end of the term ends ctx, too.
 func Lead(ctx context.Context, o Options, t *Term) {
 	l := &Leader{
 		Options:      o,
@@ -111,8 +117,9 @@
 	l.decideLoop(ctx)
 }
 
-// load reads what earlier terms recorded. Nothing they write comes later: each
-// of their writes demands their own term.
+// load reads the records of earlier terms and builds the core from them. Earlier
+// terms can't write afterwards: each of their writes is conditional on their own
+// term.
 func (l *Leader) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, loadTimeout)
@@ -122,13 +129,13 @@
 			l.buildCore(found)
 			return true
 		}
-		l.Log.Warn("records not read; trying again", "err", err)
+		l.Log.Warn("reading records failed; retrying", "err", err)
 		pause.For(ctx, loadRetryDelay)
 	}
 	return false
 }
 
-// storedRecords is what earlier terms left in the store.
+// storedRecords are the records of earlier terms in the store.
 type storedRecords struct {
 	jobs, progress []kvstore.Item
 	speeds         batch.Speeds
@@ -168,15 +175,15 @@
 	l.Log.Info("records read", "token", l.term.Token, "jobs", n, "speeds", len(found.speeds.Runners))
 }
 
-// addJob gives a job to the core with its progress record, if there is one.
-// The caller holds mu, or is alone.
+// addJob adds a job to the core with its progress record, if there is one. The
+// caller holds mu, or no other goroutine uses the leader yet.
 func (l *Leader) addJob(e ledger.Entry, progress kvstore.Item, now steady.Time) {
 	id := e.Job.ID
 	var recorded *batch.Progress
 	if progress.Revision != 0 {
 		p, err := ledger.DecodeProgress(progress.Value)
 		if err != nil {
-			l.Log.Error("progress is unreadable; the job is left alone", "job", id, "revision", progress.Revision, "err", err)
+			l.Log.Error("progress record can't be decoded; job is not scheduled", "job", id, "revision", progress.Revision, "err", err)
 			return
 		}
 		recorded = &p
@@ -189,6 +196,7 @@
 	}
 }
 
+// logDecision logs and counts a decision.
 func (l *Leader) logDecision(d scheduler.Decision) {
 	l.countDecision(d)
 	l.Log.Info(d.What, "job", d.Job, "occurrence", d.Task.Occurrence, "step", d.Task.Step, "task", d.Task.Index,
@@ -209,7 +217,7 @@
 	}
 }
 
-// decideLoop takes in what changed, decides, and sends what was decided.
+// decideLoop passes changes to the core, decides and sends the resulting orders.
 func (l *Leader) decideLoop(ctx context.Context) {
 	changed := l.Replica.Watch()
 	timer := time.NewTicker(decideInterval)
@@ -229,7 +237,7 @@
 	}
 }
 
-// addNewJobs gives the core the jobs and cancellations that it doesn't have.
+// addNewJobs passes new jobs and cancellations from the replica to the core.
 func (l *Leader) addNewJobs() {
 	now := steady.Now()
 	l.mu.Lock()
@@ -269,18 +277,21 @@
 	}
 }
 
-// maxLeaseDuration returns how long a lease of d can last on the maxLeaseDuration runner's clock.
+// maxLeaseDuration returns how long a lease of d may last when the runner's clock
+// is the slowest one allowed for: 3 % slow, plus clockReadSlack.
 func maxLeaseDuration(d time.Duration) time.Duration {
 	return d*103/100 + clockReadSlack
 }
 
-// clockReadSlack covers the way of a report that a runner's clock was read from.
+// clockReadSlack covers the latency of the report from which a runner's clock was
+// read.
 const clockReadSlack = 300 * time.Millisecond
 
+// giveUpTerm logs the reason and ends the term.
 func (l *Leader) giveUpTerm(reason string, err error) {
 	l.Log.Warn("term given up", "token", l.term.Token, "reason", reason, "err", err)
 	l.term.End()
 }
 
-// errForeignWrite means that a record was changed by somebody else.
+// errForeignWrite means that another writer changed a progress record.
 var errForeignWrite = errors.New("dispatch: a record was changed by another writer")
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -15,45 +15,48 @@
 )
 
 const (
-	// minHoldWait and holdWaitMax bound how long a runner may wait for an end
-	// before it reports. Progress, checkpoints and silence are seen that often;
-	// the platform allows two seconds.
+	// minHoldWait and maxHoldWait bound how long a runner may wait for a task to end
+	// before it answers a hold. Progress, checkpoints and silent runners are noticed
+	// at this interval; the platform allows two seconds.
 	minHoldWait = time.Second
 	maxHoldWait = 2 * time.Second
 
-	// holdsPerCoreSecond is how many holds a second one core spends its time on. A host
-	// of 0.144 cores kept up with three times as many, so bursts have room.
+	// holdsPerCoreSecond is the budget of holds per second for each core. A host of
+	// 0.144 cores kept up with three times as many, which leaves room for bursts.
 	holdsPerCoreSecond = 400
 
-	holdGrace         = 600 * time.Millisecond // beyond the wait, for a slow answer
-	holdRetryDelay    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryMax
-	holdRetryDelayMax = 800 * time.Millisecond // several tries within a runner's shortest lease
+	holdGrace         = 600 * time.Millisecond // allowance beyond the wait, for a slow answer
+	holdRetryDelay    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryDelayMax
+	holdRetryDelayMax = 800 * time.Millisecond // allows several tries within a runner's shortest lease
 
-	// endRecordTimeout is how long a hold waits for the ends of the last report to be
-	// recorded, so that it can acknowledge them: many commits' time.
+	// endRecordTimeout is how long the next hold is delayed until the ends in the
+	// last report are recorded, so that it can acknowledge them: time for many
+	// commits.
 	endRecordTimeout = 250 * time.Millisecond
 
-	// unrecordedHoldPause lies between holds while ends can't be recorded: a runner
-	// with unacknowledged ends answers at once. It costs two calls a second.
+	// unrecordedHoldPause is the pause between holds while ends can't be recorded: a
+	// runner with unacknowledged ends answers at once. This costs two calls a second.
 	unrecordedHoldPause = 400 * time.Millisecond
 
 	maxStartTries     = 3
 	startTimeout      = 450 * time.Millisecond // three tries end before the rest of a gang has waited too long
-	stopTimeout       = 500 * time.Millisecond // a hundred round trips within a region
-	stopRetryDelay    = 100 * time.Millisecond // doubles up to stopRetryMax
-	stopRetryDelayMax = time.Second            // a cancelled task must be gone within three seconds of a cut's end
+	stopTimeout       = 500 * time.Millisecond // time for a hundred round trips within a region
+	stopRetryDelay    = 100 * time.Millisecond // doubles up to stopRetryDelayMax
+	stopRetryDelayMax = time.Second            // a cancelled task must be gone within three seconds of a network partition's end
 )
 
-// runnerLink is the connection to one runner. Its fields are guarded by the leader's mu.
+// runnerLink is what the leader keeps about one runner that it holds. Its fields
+// are guarded by Leader.mu.
 type runnerLink struct {
 	runner batch.Runner
 
-	// The runner's clock when it was last read.
+	// The runner's clock in its last report, and when that report arrived here.
 	clock   time.Duration
 	clockAt steady.Time
 }
 
-// holdWait is longer where a weak host holds many runners.
+// holdWait returns how long runners may wait before they answer a hold. It grows
+// with the number of runners per core of this host.
 func (l *Leader) holdWait() time.Duration {
 	l.mu.Lock()
 	n := len(l.links)
@@ -65,7 +68,7 @@
 	return min(max(wait, minHoldWait), maxHoldWait)
 }
 
-// runnerEvents passes what is said of runners on to a leader, for one term.
+// runnerEvents implements RunnerEvents for a leader during one term.
 type runnerEvents struct {
 	ctx context.Context
 	*Leader
@@ -101,7 +104,7 @@
 	signal(l.decisionDue)
 }
 
-// holdLoop holds a runner until it is neither listed nor needed.
+// holdLoop sends holds to a runner until it is neither listed nor may run tasks.
 func (l *Leader) holdLoop(ctx context.Context, id string) {
 	wait := time.Duration(0) // the first hold only reads the clock
 	retry := pause.Backoff{First: holdRetryDelay, Most: holdRetryDelayMax}
@@ -120,7 +123,7 @@
 	}
 }
 
-// nextHold builds the next hold; ok is false when the runner isn't needed.
+// nextHold builds the next hold. ok is false when the runner is no longer needed.
 func (l *Leader) nextHold(id string, wait time.Duration) (to batch.Runner, o HoldOrder, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +137,9 @@
 	return k.runner, o, true
 }
 
-// extendLease returns how far the runner's lease may be extended, on its clock,
-// and notes it. It is zero while the clock is unknown. The caller holds mu.
+// extendLease returns the time on the runner's clock until which an order may
+// extend its lease, and notes the extension in the core. It returns zero while the
+// clock is unknown or the lease may not be extended. The caller holds mu.
 func (l *Leader) extendLease(k *runnerLink) time.Duration {
 	now := steady.Now()
 	if k.clockAt.IsZero() || !l.core.MayExtend(k.runner.ID, now) {
@@ -149,7 +153,8 @@
 	return k.clock + now.Sub(k.clockAt) + lease
 }
 
-// sendHold makes one sendHold and takes the report in.
+// sendHold sends one hold and passes the report to the core. It returns false when
+// the hold wasn't accepted.
 func (l *Leader) sendHold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
 	call, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
@@ -188,8 +193,9 @@
 	}
 }
 
-// afterReport waits for the report's ends to be recorded. It returns how long
-// the next hold may wait at the runner.
+// afterReport waits until the ends in the report are recorded. It returns how long
+// the next hold may wait at the runner. clockOnly says that the last hold only read
+// the runner's clock and did not extend its lease.
 func (l *Leader) afterReport(ctx context.Context, id string, clockOnly bool) time.Duration {
 	if clockOnly {
 		return 0 // extend the lease at once
@@ -198,9 +204,9 @@
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
-		open, committed := l.core.Unacknowledged(id), l.committed
+		unacknowledged, committed := l.core.Unacknowledged(id), l.committed
 		l.mu.Unlock()
-		if !open {
+		if !unacknowledged {
 			return l.holdWait()
 		}
 		select {
@@ -214,8 +220,8 @@
 	}
 }
 
-// sendOrders sends orders, each by itself, so that a gang starts together and a
-// silent runner holds up nothing else.
+// sendOrders sends each order in its own goroutine, so that the tasks of a gang
+// start together and a silent runner doesn't delay other orders.
 func (l *Leader) sendOrders(ctx context.Context, orders []scheduler.Order) {
 	for _, o := range orders {
 		l.background.Go(func() {
@@ -228,6 +234,7 @@
 	}
 }
 
+// passAnswer passes the answer to an order to the core.
 func (l *Leader) passAnswer(o scheduler.Order, a scheduler.Answer) {
 	now := steady.Now()
 	l.mu.Lock()
@@ -236,9 +243,9 @@
 	signal(l.decisionDue)
 }
 
-// startRun sends a startRun until it is answered, a few times. Once a try may have
-// left without an answer, only an acceptance is clear: the runner may still
-// carry out the earlier try.
+// startRun sends a start order until it is answered, at most maxStartTries times.
+// Once a try may have been sent without an answer, only Accepted is conclusive: the
+// runner may still carry out the earlier try.
 func (l *Leader) startRun(ctx context.Context, o scheduler.Order) scheduler.Answer {
 	ambiguous := false
 	for range maxStartTries {
@@ -276,6 +283,8 @@
 	return scheduler.Unhealthy
 }
 
+// sendStart sends a start order once. sent is false when it certainly did not leave
+// this host.
 func (l *Leader) sendStart(ctx context.Context, o scheduler.Order) (answer Answer, sent bool, err error) {
 	l.mu.Lock()
 	k := l.links[o.Runner.ID]
@@ -285,7 +294,7 @@
 	}
 	l.mu.Unlock()
 	if deadline == 0 {
-		return Unanswered, false, errors.New("runner not heard of lately; its lease can't be extended")
+		return Unanswered, false, errors.New("no recent report from the runner; its lease can't be extended")
 	}
 	call, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -295,12 +304,12 @@
 	return answer, !errors.Is(err, ErrNotSent), err
 }
 
-// stopRun sends a stopRun until it is answered or the run is gone.
+// stopRun sends a stop order until it is answered or the runner is no longer needed.
 func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
 	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
 	for ctx.Err() == nil && l.stopDue(o) {
 		to, known := l.listedRunner(o.Runner.ID)
-		if !known { // inherited from an earlier term; not listed yet
+		if !known { // run inherited from an earlier term; its runner isn't listed yet
 			pause.For(ctx, stopRetryDelay)
 			continue
 		}
@@ -309,7 +318,7 @@
 		cancel()
 		switch answer {
 		case Unanswered, Unhealthy:
-			l.Log.Debug("stop failed; trying again", "job", o.Task.Job, "runner", o.Runner.ID, "err", err)
+			l.Log.Debug("stop failed; retrying", "job", o.Task.Job, "runner", o.Runner.ID, "err", err)
 			retry.Wait(ctx)
 		case Fenced:
 			l.giveUpTerm("a runner has seen a later term", nil)
@@ -321,7 +330,7 @@
 	}
 }
 
-// listedRunner returns a runner as it is listed now.
+// listedRunner returns the runner as last listed.
 func (l *Leader) listedRunner(id string) (batch.Runner, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// maxRecordsPerTxn is how many records one transaction takes: each needs a
+	// maxRecordsPerTxn is how many records fit into one transaction: each needs a
 	// condition and up to two puts, and the term needs a condition.
 	maxRecordsPerTxn = (kvstore.MaxTxnEntries - 1) / 3
 
 	commitTimeout       = 1500 * time.Millisecond // four times the slowest store's answer, direct and through a peer
-	commitRetryDelay    = 50 * time.Millisecond   // doubles up to commitRetryMax
-	commitRetryDelayMax = 250 * time.Millisecond  // four calls a second are little for the store
+	commitRetryDelay    = 50 * time.Millisecond   // doubles up to commitRetryDelayMax
+	commitRetryDelayMax = 250 * time.Millisecond  // four calls a second are a small load for the store
 )
 
-// recordLoop commits changed records, one group at a time. Each record has one
-// write in flight, and each write demands the revision of the one before, so a
-// write that the store carries out late changes nothing.
+// recordLoop commits changed progress records, one group at a time. Each record
+// has at most one write in flight, and each write is conditional on the revision of
+// the one before, so a write that the store carries out late changes nothing.
 func (l *Leader) recordLoop(ctx context.Context) {
 	for {
 		select {
@@ -39,7 +39,8 @@
 	}
 }
 
-// commitGroup commits one group. It returns false when nothing is left.
+// commitGroup commits up to maxRecordsPerTxn changed records. It returns false when
+// none is left or the term has ended.
 func (l *Leader) commitGroup(ctx context.Context) bool {
 	l.mu.Lock()
 	records := l.core.TakeRecords(maxRecordsPerTxn)
@@ -61,6 +62,8 @@
 	return true
 }
 
+// progressTxn builds the transaction that writes records, conditional on the term
+// and on each record's revision. The caller holds mu.
 func (l *Leader) progressTxn(records []scheduler.Record) (kvstore.Txn, error) {
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: ledger.LeaderKey, Revision: l.term.Token}}}
 	for _, r := range records {
@@ -91,7 +94,7 @@
 	l.committed = make(chan struct{})
 }
 
-// commit tries until the outcome is clear or the term ends.
+// commit retries the transaction until its outcome is clear or the term ends.
 func (l *Leader) commit(ctx context.Context, txn kvstore.Txn) (uint64, bool) {
 	retry := pause.Backoff{First: commitRetryDelay, Most: commitRetryDelayMax}
 	for ctx.Err() == nil {
@@ -110,14 +113,15 @@
 			l.giveUpTerm("a record could not be committed", err)
 			return 0, false
 		}
-		l.Log.Debug("commit failed; trying again", "records", len(txn.Puts), "err", err)
+		l.Log.Debug("commit failed; retrying", "records", len(txn.Puts), "err", err)
 		retry.Wait(ctx)
 	}
 	return 0, false
 }
 
-// resolveConflict tells whether a refused transaction had been applied by an earlier
-// try: every key then has the value that was to be written.
+// resolveConflict returns the revision of a transaction that failed with a conflict
+// because an earlier try had applied it: every key then has the value to be
+// written. Otherwise it returns an error.
 func resolveConflict(conflict *kvstore.ConflictError, txn kvstore.Txn) (uint64, error) {
 	current := make(map[string]kvstore.Item, len(conflict.Items))
 	for _, item := range conflict.Items {
@@ -130,7 +134,7 @@
 	for _, p := range txn.Puts {
 		item, conditional := current[p.Key]
 		if !conditional {
-			continue // the state, written together with its record
+			continue // the state that callers see, written together with its record
 		}
 		if !bytes.Equal(item.Value, p.Value) {
 			return 0, errors.Wrapf(errForeignWrite, "key %s at revision %d", p.Key, item.Revision)
--- a/batch/dispatch/speeds.go
+++ b/batch/dispatch/speeds.go
@@ -13,12 +13,13 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// speedsWriteInterval lies between two records of learned speeds: what a takeover may
-// lose is a few runs' worth, and a write every two seconds is little for the store.
+// speedsWriteInterval is the time between two writes of learned speeds. A takeover
+// loses the results of at most a few runs, and a write every two seconds is a small
+// load for the store.
 const speedsWriteInterval = 2 * time.Second
 
-// readSpeeds reads what earlier terms learned. A record that can't be read is
-// left out: speeds are learned again within some ten runs.
+// readSpeeds reads the speeds that earlier terms learned. A record that can't be
+// decoded is ignored: speeds are learned again within some ten runs.
 func (l *Leader) readSpeeds(ctx context.Context) (batch.Speeds, error) {
 	item, err := l.Store.Get(ctx, ledger.SpeedsKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -29,12 +30,12 @@
 	}
 	speeds, err := ledger.DecodeSpeeds(item.Value)
 	if err != nil {
-		l.Log.Error("learned speeds are unreadable and are learned anew", "revision", item.Revision, "err", err)
+		l.Log.Error("learned speeds can't be decoded; learning them again", "revision", item.Revision, "err", err)
 	}
 	return speeds, nil
 }
 
-// speedsLoop records what was learned until ctx ends.
+// speedsLoop writes learned speeds to the store until ctx ends, when they changed.
 func (l *Leader) speedsLoop(ctx context.Context) {
 	var last []byte
 	for pause.For(ctx, speedsWriteInterval) {
@@ -47,7 +48,7 @@
 			continue
 		}
 		if err := l.writeSpeeds(ctx, value); err != nil {
-			l.Log.Debug("learned speeds not recorded; trying again", "err", err)
+			l.Log.Debug("writing learned speeds failed; retrying", "err", err)
 			continue
 		}
 		last = value
@@ -63,7 +64,7 @@
 
 func (l *Leader) writeSpeeds(ctx context.Context, value []byte) error {
 	if !l.term.Valid() {
-		return errors.New("the term is in doubt")
+		return errors.New("the term's lease may have expired")
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
