--- a/batch/conditions/conditions.go
+++ b/batch/conditions/conditions.go
@@ -1,5 +1,8 @@
-// Package conditions follows what operators and runners say in the store. How
-// their entries are written is given from outside.
+// Package conditions follows the operators' documents and the runners' entries in
+// the store. It holds the configuration in force and the evacuated failure domains,
+// and, while a leader asks for it, the list of runners. Each host has one
+// Conditions; its leader and its job intake read it. The keys and encoding of the
+// entries are given by a Format.
 package conditions
 
 import (
@@ -15,37 +18,41 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// Format is how the entries are named and written.
+// Format defines the keys and the encoding of the entries.
 type Format struct {
 	OperatorPrefix string
 	RunnerPrefix   string
-	// DecodeDocument decodes an operator's entry. An entry that is not used decodes to
-	// the zero DecodeDocument.
+	// DecodeDocument decodes an operator's entry. An entry that is not used decodes
+	// to the zero Document.
 	DecodeDocument func(kvstore.Item) (Document, error)
-	// EvacuatedDomain returns the failure domain that a key asks to evacuate, or "".
+	// EvacuatedDomain returns the failure domain whose evacuation a key requests, or
+	// "".
 	EvacuatedDomain func(key string) string
-	// DecodeRunner decodes a runner's entry, or says why it names no runner.
+	// DecodeRunner decodes a runner's entry, or returns why it describes no runner.
 	DecodeRunner func(kvstore.Item) (batch.Runner, error)
-	RunnerID     func(key string) string
+	// RunnerID returns the ID of the runner that a key belongs to.
+	RunnerID func(key string) string
 }
 
-// Document is one of the operator's documents. At most one field is set.
+// Document is a decoded operator's document. At most one field is set.
 type Document struct {
 	Configuration   *batch.Configuration
-	EvacuatedDomain string // failure domain
+	EvacuatedDomain string // failure domain to evacuate; empty: none
 }
 
-// watchWait is short, so that a connection that has gone silent is replaced
-// within the time a configuration has to be in force.
+// watchWait is how long one watch of the store waits for changes. It is short, so
+// that a silent connection is replaced within the time in which a configuration
+// must be in force.
 const watchWait = time.Second
 
-// Conditions follows the operator's documents and the runners' entries.
+// Conditions follows the operators' documents and the runners' entries. It is safe
+// for concurrent use.
 type Conditions struct {
 	store  kvstore.Keyspace
 	format Format
 	log    *log.Logger
 
-	heartbeat time.Duration
+	heartbeat time.Duration // interval between two writes of a runner's entry
 
 	configuration atomic.Pointer[batch.Configuration]
 
@@ -53,8 +60,8 @@
 	evacuated map[string]bool
 }
 
-// New returns Conditions that follow nothing yet.
-// Runners write their entries every heartbeat.
+// New returns Conditions that don't follow the store yet. heartbeat is the interval
+// at which runners write their entries.
 func New(store kvstore.Keyspace, format Format, heartbeat time.Duration, logger *log.Logger) *Conditions {
 	return &Conditions{store: store, format: format, heartbeat: heartbeat, log: logger}
 }
@@ -64,14 +71,14 @@
 // Configuration implements dispatch.Conditions.
 func (c *Conditions) Configuration() *batch.Configuration { return c.configuration.Load() }
 
-// Evacuated implements dispatch.Conditions. The map isn't changed later.
+// Evacuated implements dispatch.Conditions. The returned map is never modified.
 func (c *Conditions) Evacuated() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.evacuated
 }
 
-// FollowOperator follows the operator's documents until ctx ends.
+// FollowOperator follows the operators' documents until ctx ends.
 func (c *Conditions) FollowOperator(ctx context.Context) {
 	f := kvstore.Follower{
 		Store:  c.store,
@@ -113,7 +120,7 @@
 	}
 	document, err := c.format.DecodeDocument(e.Item)
 	if err != nil {
-		c.log.Error("document is unreadable; the one in force stays", "key", e.Key, "revision", e.Revision, "err", err)
+		c.log.Error("document can't be decoded; keeping the one in force", "key", e.Key, "revision", e.Revision, "err", err)
 		return
 	}
 	if document.Configuration != nil {
@@ -121,9 +128,10 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force unless a later one already is.
+// applyConfiguration puts a configuration in force unless the one in force is as
+// new or newer.
 func (c *Conditions) applyConfiguration(config *batch.Configuration) {
-	if now := c.configuration.Load(); now != nil && now.Revision >= config.Revision {
+	if current := c.configuration.Load(); current != nil && current.Revision >= config.Revision {
 		return
 	}
 	c.configuration.Store(config)
@@ -131,6 +139,8 @@
 		"queues", len(config.Queues), "organisations", len(config.Organisations))
 }
 
+// updateEvacuated applies change to a copy of the set of evacuated failure domains,
+// since callers of Evacuated may still read the old one.
 func (c *Conditions) updateEvacuated(change func(map[string]bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/batch/conditions/conditions_test.go
+++ b/batch/conditions/conditions_test.go
@@ -20,7 +20,7 @@
 
 func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// jsonFormat writes entries as this package's types, in JSON.
+// jsonFormat encodes a configuration as its version and a runner as JSON.
 var jsonFormat = Format{
 	OperatorPrefix: "operator/",
 	RunnerPrefix:   "runner/",
@@ -43,11 +43,12 @@
 	RunnerID: func(key string) string { return strings.TrimPrefix(key, "runner/") },
 }
 
-// runnerItem is a heartbeat; beat changes with each.
+// runnerItem returns a runner's entry; beat differs between heartbeats.
 func runnerItem(id string, draining bool, beat int) kvstore.Item {
 	return kvstore.Item{Key: "runner/" + id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s","Draining":%t,"Beat":%d}`, id, draining, beat)}
 }
 
+// recordedEvents counts the events of each kind.
 type recordedEvents struct {
 	mu                     sync.Mutex
 	listed, unlisted, left int
@@ -66,8 +67,9 @@
 	return kvstore.Event{Item: kvstore.Item{Key: "runner/" + id}, Deleted: true}
 }
 
-// Heartbeats that only move the clock are not passed on; an entry that comes
-// back within the grace was never gone; one that can't be read is no runner.
+// Heartbeats that change nothing else are not reported. A runner whose entry comes
+// back within unlistGrace is not reported as unlisted. A runner whose entry can't
+// be decoded is.
 func TestRunnerListForwardsOnlyChanges(t *testing.T) {
 	events := &recordedEvents{}
 	l := newRunnerList(context.Background(), jsonFormat, 1500*time.Millisecond, discardLogger(), events)
@@ -86,25 +88,25 @@
 	must.Eq(t, [3]int{4, 2, 0}, events.counts())
 }
 
-// storeRead is one look at the store: when it was sent and what it brought.
+// storeRead is one read of the store: when it was sent and what it returned.
 type storeRead struct {
 	sent      time.Duration
 	listed    bool // the prefix is listed, not watched
-	truncated bool // more changes wait than were brought
-	heartbeat bool // a heartbeat of the runner is among them
+	truncated bool // the store had more changes than it returned
+	heartbeat bool // a heartbeat of the runner is among the changes
 }
 
-// An entry that goes soon after a heartbeat is that of a runner that left. A
-// runner that is only silent may be alive and have done its work, so nothing
-// that hides the silence may look like leaving: gaps, slow answers, changes read
-// late, and entries listed anew.
+// A runner whose entry is deleted soon after a heartbeat has left. A runner that is
+// only silent may be alive and may have done its work, so it must not be taken for
+// one that left when its silence is hidden by gaps in watching, slow answers,
+// changes that are read late, or a new list of the entries.
 func TestDepartedRunnerIsDistinguishedFromSilentRunner(t *testing.T) {
 	const heartbeat = 1500 * time.Millisecond
 	watched := func(sent time.Duration) storeRead { return storeRead{sent: sent, heartbeat: true} }
 	for name, test := range map[string]struct {
 		heartbeat    time.Duration
 		reads        []storeRead
-		deletionSeen time.Duration // when the entry is seen to be gone
+		deletionSeen time.Duration // when the deletion of the entry is read
 		want         [3]int
 	}{
 		"left":                {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
@@ -113,8 +115,8 @@
 		"gap in watching":     {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
 		"short heartbeats":    {heartbeat / 3, []storeRead{{sent: 0}, watched(time.Second)}, 1600 * time.Millisecond, [3]int{1, 0, 0}},
 		"slow answers":        {heartbeat, []storeRead{{sent: 0}, watched(2400 * time.Millisecond)}, 4600 * time.Millisecond, [3]int{1, 0, 0}},
-		"listed anew":         {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, listed: true, heartbeat: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
-		"read late":           {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
+		"new list":            {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, listed: true, heartbeat: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
+		"changes read late":   {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			events := &recordedEvents{}
@@ -143,7 +145,8 @@
 	}
 }
 
-// A configuration never gives way to an older one, nor to an unreadable one.
+// The configuration in force stays when an older one or one that can't be decoded
+// is read.
 func TestConfigurationIsNotReplacedByOlderOrUnreadableOne(t *testing.T) {
 	c := New(nil, jsonFormat, time.Second, discardLogger())
 	apply := func(revision uint64, text string) {
--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// unlistGrace is how long a runner whose entry is gone is still taken as
-	// listed: after an outage of the store the entries of live runners come back
-	// within two seconds.
+	// unlistGrace is how long a runner whose entry is gone still counts as listed:
+	// after an outage of the store the entries of live runners come back within two
+	// seconds.
 	unlistGrace = 2500 * time.Millisecond
 
-	// runnerWatchPause batches the runners' heartbeats. A runner that leaves must get
-	// nothing new two seconds after it said so.
+	// runnerWatchPause is the pause between two watches, so that heartbeats are read
+	// in batches. A runner that leaves must get no new tasks two seconds after it
+	// announced it.
 	runnerWatchPause = 200 * time.Millisecond
 )
 
@@ -44,21 +45,23 @@
 	f.Run(ctx)
 }
 
-// runnerList passes on what changes in the runners' entries.
+// runnerList turns changes of the runners' entries into RunnerEvents, without the
+// heartbeats that change nothing else. Only the follower's goroutine uses it, except
+// for runners.
 type runnerList struct {
 	ctx    context.Context
 	format Format
 	log    *log.Logger
 	to     dispatch.RunnerEvents
 
-	leftWithin time.Duration
+	leftWithin time.Duration // leftWithinHeartbeats as a duration
 
-	readSent      steady.Time            // when the look under way was sent
-	changesAfter  steady.Time            // changes that are told now happened later; 0: not known
-	truncated     bool                   // the look under way leaves changes out
-	lastHeartbeat map[string]steady.Time // a time before the last heartbeat of each runner
-	mu            sync.Mutex
-	runners       map[string]batch.Runner
+	readSent      steady.Time             // when the read of the store in progress was sent
+	changesAfter  steady.Time             // the changes in this read happened after this time; 0: unknown
+	truncated     bool                    // the read in progress leaves changes out
+	lastHeartbeat map[string]steady.Time  // by runner ID: a lower bound on the time of its last heartbeat
+	mu            sync.Mutex              // guards runners
+	runners       map[string]batch.Runner // listed runners by ID
 }
 
 func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, to dispatch.RunnerEvents) *runnerList {
@@ -68,16 +71,17 @@
 	}
 }
 
-// leftWithinHeartbeats is how soon after a heartbeat, in heartbeats, an entry must go for
-// its runner to have left by itself: silence takes three of them, and an entry is
-// removed for no other reason. The rest is for clocks that differ.
+// leftWithinHeartbeats is the time after a heartbeat, in heartbeat intervals, within
+// which the deletion of an entry means that its runner has left on its own. The
+// entry of a silent runner is deleted after three intervals, and entries are deleted
+// for no other reason. The margin between 2.8 and 3 allows for clock differences.
 const leftWithinHeartbeats = 2.8
 
-// readStarted notes that the store is about to be looked at.
+// readStarted notes that a read of the store is about to be sent.
 func (l *runnerList) readStarted(now steady.Time) { l.readSent = now }
 
-// readDone notes that the look under way told all that had changed. What the
-// next one tells happened after this one was sent.
+// readDone notes that the read in progress has returned all changes so far. Changes
+// in the next read happened after this one was sent, unless this one was truncated.
 func (l *runnerList) readDone() {
 	l.changesAfter = l.readSent
 	if l.truncated {
@@ -85,9 +89,11 @@
 	}
 }
 
-// readTruncated notes that more changes wait: the next look tells them late.
+// readTruncated notes that the store has more changes than this read returned: the
+// next read returns them late.
 func (l *runnerList) readTruncated() { l.truncated = true }
 
+// reset replaces the list by the entries of the whole prefix.
 func (l *runnerList) reset(items []kvstore.Item) {
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -99,7 +105,8 @@
 	}
 }
 
-// apply takes the last change of each entry: heartbeats change it often.
+// apply applies only the last change of each entry, since heartbeats change entries
+// often.
 func (l *runnerList) apply(events []kvstore.Event) {
 	last := make(map[string]int, len(events))
 	for i, e := range events {
@@ -118,20 +125,21 @@
 	}
 }
 
-// noteHeartbeat notes a heartbeat. The list of all entries tells none: those may be as
-// old as silence takes.
+// noteHeartbeat notes a heartbeat that was read by a watch. Entries from a list of the
+// whole prefix don't count: they may have been written as long ago as it takes to
+// detect that a runner is silent.
 func (l *runnerList) noteHeartbeat(id string) {
 	if !l.changesAfter.IsZero() {
 		l.lastHeartbeat[id] = l.changesAfter
 	}
 }
 
-// putEntry passes an entry on when it says something new. One that can't be used
-// names no runner, and putEntry returns false.
+// putEntry reports a runner as listed when its entry is new or has changed. For an
+// invalid entry it reports the runner as unlisted and returns false.
 func (l *runnerList) putEntry(item kvstore.Item) bool {
 	r, err := l.format.DecodeRunner(item)
 	if err != nil {
-		l.log.Warn("runner's entry can't be used", "key", item.Key, "revision", item.Revision, "err", err)
+		l.log.Warn("runner's entry is invalid", "key", item.Key, "revision", item.Revision, "err", err)
 		l.to.Unlisted(l.format.RunnerID(item.Key))
 		return false
 	}
@@ -139,7 +147,7 @@
 	old, known := l.runners[r.ID]
 	l.runners[r.ID] = r
 	l.mu.Unlock()
-	old.DrainRemaining = r.DrainRemaining // it shrinks with each heartbeat
+	old.DrainRemaining = r.DrainRemaining // decreases with each heartbeat
 	if known && reflect.DeepEqual(old, r) {
 		return true
 	}
@@ -149,7 +157,8 @@
 	return true
 }
 
-// entryDeleted tells a runner that has left from one that is only silent.
+// entryDeleted reports a runner whose entry was deleted: as left if the deletion came
+// soon after a heartbeat, otherwise as unlisted after unlistGrace.
 func (l *runnerList) entryDeleted(id string, now steady.Time) {
 	beat, seen := l.lastHeartbeat[id]
 	if !seen || now.Sub(beat) > l.leftWithin {
@@ -164,7 +173,8 @@
 	l.to.Left(id)
 }
 
-// unlistAfterGrace takes a runner off the list unless its entry comes back in time.
+// unlistAfterGrace reports a runner as unlisted unless its entry comes back within
+// unlistGrace.
 func (l *runnerList) unlistAfterGrace(id string) {
 	l.mu.Lock()
 	delete(l.runners, id)
@@ -180,6 +190,7 @@
 	})
 }
 
+// missingFrom returns the listed runners that are not in present.
 func (l *runnerList) missingFrom(present map[string]bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
