--- a/batch/account/account.go
+++ b/batch/account/account.go
@@ -1,5 +1,7 @@
-// Package account tells a batch job's story from hosts' logs: what was decided
-// about it, by whom, from what, and what happened around it.
+// Package account reconstructs the history of a batch job from the logs of all
+// hosts: the decisions about the job, which host took them and on what grounds, and
+// the cluster events at that time. It holds no state; the command line's account
+// command calls it.
 package account
 
 import (
@@ -13,18 +15,18 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one line of a log.
+// Line is one decoded log line.
 type Line struct {
-	Time   string // as written; its format sorts
+	Time   string // as written; sorts in order of time
 	Host   string
-	What   string // the message
+	What   string // the log message
 	Fields []Field
 }
 
-// Field is one key and value of a line.
+// Field is a key and its value in a log line.
 type Field struct{ Key, Value string }
 
-// Get returns a field's value, or "".
+// Get returns the value of the first field with the key, or "".
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -34,14 +36,14 @@
 	return ""
 }
 
-// Account is a job's story.
+// Account is the history of one job.
 type Account struct {
 	Job   string
 	Lines []Line // in order of time
-	Read  int    // lines read
+	Read  int    // number of lines read, of any job
 }
 
-// clusterMessages lists the messages that may bear on any job.
+// clusterMessages lists the messages of cluster events, which may affect any job.
 var clusterMessages = map[string]bool{
 	"term acquired": true, "term ended": true, "term lost: its lease has ended": true, "term lost: another host leads": true,
 	"term given up": true, "term yielded to a stronger host": true, "records read": true, "store lost": true, "store regained": true,
@@ -50,11 +52,11 @@
 
 const (
 	maxLineBytes     = 1 << 20
-	progressInterval = 200_000 // between two calls of progress
+	progressInterval = 200_000 // lines between two calls of progress
 )
 
 // Read reads logs and returns the account of a job. Lines may have a prefix
-// before their time. progress, when set, is told how many lines were read.
+// before their time. progress, when set, is called with the number of lines read.
 func Read(job string, logs []io.Reader, progress func(lines int)) (*Account, error) {
 	a := &Account{Job: job}
 	var clusterLines []Line
@@ -95,7 +97,8 @@
 	return a, nil
 }
 
-// addWithinJobTime takes lines between the first and the last about the job.
+// addWithinJobTime adds the wanted lines that lie between the first and the last line
+// about the job.
 func (a *Account) addWithinJobTime(lines []Line, wanted func(Line) bool) {
 	if len(a.Lines) == 0 {
 		return
@@ -111,7 +114,7 @@
 	}
 }
 
-// namesNoJob reports, without decoding it, whether a line can be about no job in particular.
+// namesNoJob reports, without decoding it, whether a line has no field job.
 func namesNoJob(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
 
 func parse(text []byte) (Line, bool) {
@@ -143,10 +146,10 @@
 	}
 }
 
-// omittedValues are fields that say nothing where they have these values.
+// omittedValues are default values of fields, which String leaves out.
 var omittedValues = map[string]string{"occurrence": "0", "waited": "0s", "factor": "0", "work": "0s", "reason": ""}
 
-// String returns the account as text, a line each.
+// String returns the account as text, one log line per line.
 func (a *Account) String() string {
 	if len(a.Lines) == 0 {
 		return "no line names job " + a.Job + "; give the logs of every host, from before its submission"
--- a/batch/account/account_test.go
+++ b/batch/account/account_test.go
@@ -45,7 +45,7 @@
 	must.StrContains(t, a.String(), "give the logs of every host")
 }
 
-// A million lines are read whole, with progress told.
+// Of a million lines every one is read, and progress is called every 200,000 lines.
 func TestReadReportsProgressOverAMillionLines(t *testing.T) {
 	var log bytes.Buffer
 	for i := range 1_000_000 {
--- a/batch/ledger/ledger.go
+++ b/batch/ledger/ledger.go
@@ -1,5 +1,8 @@
-// Package ledger keeps a copy of what the store holds about batch jobs: every
-// host follows it, so that any of them can answer and take over.
+// Package ledger defines the store's keys and records of batch jobs, and keeps a
+// replica of them on every host: jobs, their states and cancellations, the leader
+// and the listed hosts. Package host keeps the replica current; the intake answers
+// callers from it, and the leader reads new jobs from it. So any host can answer,
+// and any can take over as leader.
 package ledger
 
 import (
@@ -17,14 +20,15 @@
 
 // Keys of the store that hosts write.
 const (
-	ReplicaPrefix = "batch/" // what every host follows
+	ReplicaPrefix = "batch/" // of the records that every host replicates
 	LeaderKey     = "batch/leader"
 
-	// ProgressPrefix is of what only the next leader needs. It is apart, because
-	// it changes more often than the rest.
+	// ProgressPrefix is the prefix of progress records, which only the next leader
+	// reads. It lies outside ReplicaPrefix, because they change more often than the
+	// rest.
 	ProgressPrefix = "progress/"
 
-	// SpeedsKey is of what leaders learned of the runners' speeds.
+	// SpeedsKey is the key of the learned speeds of runners.
 	SpeedsKey = "learned/speeds"
 
 	jobPrefix    = "batch/job/"
@@ -36,26 +40,26 @@
 // JobKey returns the key of an accepted job.
 func JobKey(id string) string { return jobPrefix + id }
 
-// ProgressKey returns the key of what the scheduler recorded of a job.
+// ProgressKey returns the key of a job's progress record.
 func ProgressKey(id string) string { return ProgressPrefix + id }
 
-// JobFromProgressKey returns the job that a progress key belongs to.
+// JobFromProgressKey returns the ID of the job that a progress key belongs to.
 func JobFromProgressKey(key string) string { return strings.TrimPrefix(key, ProgressPrefix) }
 
 // StateKey returns the key of a job's state as callers see it.
 func StateKey(id string) string { return statePrefix + id }
 
-// CancelKey returns the key that says that a job was cancelled.
+// CancelKey returns the key of a job's cancellation.
 func CancelKey(id string) string { return cancelPrefix + id }
 
-// HostKey returns the key under which a host lists its address for calls
+// HostKey returns the key of a host's entry, which lists its address for calls
 // between hosts.
 func HostKey(name string) string { return hostPrefix + name }
 
-// EncodeProgress writes a progress record.
+// EncodeProgress encodes a progress record.
 func EncodeProgress(p batch.Progress) ([]byte, error) { return json.Marshal(p) }
 
-// DecodeProgress reads a progress record.
+// DecodeProgress decodes a progress record.
 func DecodeProgress(value []byte) (batch.Progress, error) {
 	var p batch.Progress
 	if err := json.Unmarshal(value, &p); err != nil {
@@ -64,10 +68,10 @@
 	return p, nil
 }
 
-// EncodeSpeeds writes what was learned of speeds.
+// EncodeSpeeds encodes learned speeds.
 func EncodeSpeeds(s batch.Speeds) ([]byte, error) { return json.Marshal(s) }
 
-// DecodeSpeeds reads what was learned of speeds.
+// DecodeSpeeds decodes learned speeds.
 func DecodeSpeeds(value []byte) (batch.Speeds, error) {
 	var s batch.Speeds
 	if err := json.Unmarshal(value, &s); err != nil {
@@ -76,11 +80,11 @@
 	return s, nil
 }
 
-// Entry is what is known of one job.
+// Entry is the replica of one job's records.
 type Entry struct {
 	Job              *batch.Job
-	RecordedState    batch.State // as the leader recorded it last; empty: nothing recorded
-	recordedRevision uint64      // of Recorded
+	RecordedState    batch.State // last state that a leader recorded; empty: none
+	recordedRevision uint64      // store revision of RecordedState
 	Cancelled        bool
 }
 
@@ -98,25 +102,26 @@
 	}
 }
 
-// Leader is the host that schedules.
+// Leader is the record of the host that schedules.
 type Leader struct {
-	Value    string // names the host and its term
-	Revision uint64
+	Value    string // host name and lease ID of its term, separated by "/"
+	Revision uint64 // store revision; the token of the term
 }
 
-// HostName returns the name of the host; empty: none leads.
+// HostName returns the name of the leading host; empty: none leads.
 func (l Leader) HostName() string {
 	name, _, _ := strings.Cut(l.Value, "/")
 	return name
 }
 
-// Host is what a host says of itself to the others.
+// Host is a host's entry, which the other hosts read.
 type Host struct {
 	Address string  `json:"address"` // for calls between hosts
-	Cores   float64 `json:"cores"`   // of processor time
+	Cores   float64 `json:"cores"`   // processor cores that the host may use
 }
 
-// Replica is the copy. It is safe for concurrent use.
+// Replica is the copy of the records under ReplicaPrefix. It is safe for concurrent
+// use.
 type Replica struct {
 	log *log.Logger
 
@@ -128,12 +133,13 @@
 	watchers []chan struct{}
 }
 
-// NewReplica returns an empty copy.
+// NewReplica returns an empty replica.
 func NewReplica(logger *log.Logger) *Replica {
 	return &Replica{log: logger, jobs: make(map[string]*Entry), hosts: make(map[string]Host)}
 }
 
-// Watch returns a channel that gets a value after changes.
+// Watch returns a channel that receives a value after changes. Changes may share one
+// value.
 func (r *Replica) Watch() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +148,7 @@
 	return c
 }
 
-// Reset replaces the copy by a whole list of the prefix.
+// Reset replaces the contents of the replica by a list of the whole prefix.
 func (r *Replica) Reset(items []kvstore.Item) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,7 +206,7 @@
 func (r *Replica) putHost(item kvstore.Item) {
 	var h Host
 	if err := json.Unmarshal(item.Value, &h); err != nil {
-		r.log.Warn("host's entry is unreadable", "key", item.Key, "err", err)
+		r.log.Warn("host's entry can't be decoded", "key", item.Key, "err", err)
 		return
 	}
 	r.hosts[strings.TrimPrefix(item.Key, hostPrefix)] = h
@@ -209,11 +215,11 @@
 func (r *Replica) putJob(item kvstore.Item) {
 	e := r.entryOrNew(strings.TrimPrefix(item.Key, jobPrefix))
 	if e.Job != nil {
-		return // a job doesn't change
+		return // jobs are immutable
 	}
 	var job batch.Job
 	if err := json.Unmarshal(item.Value, &job); err != nil {
-		r.log.Error("accepted job is unreadable and can't run", "key", item.Key, "revision", item.Revision, "err", err)
+		r.log.Error("accepted job can't be decoded and won't run", "key", item.Key, "revision", item.Revision, "err", err)
 		return
 	}
 	e.Job = &job
@@ -239,7 +245,8 @@
 	}
 }
 
-// AddJob adds a job that this host has just stored.
+// AddJob adds a job that this host has just stored, without waiting for the
+// store's event.
 func (r *Replica) AddJob(job *batch.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,7 +256,8 @@
 	r.notifyWatchers()
 }
 
-// MarkCancelled marks a job whose cancellation this host has just stored.
+// MarkCancelled marks a job as cancelled whose cancellation this host has just
+// stored, without waiting for the store's event.
 func (r *Replica) MarkCancelled(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -257,7 +265,7 @@
 	r.notifyWatchers()
 }
 
-// Loaded reports whether the copy was ever whole.
+// Loaded reports whether the replica was ever loaded completely.
 func (r *Replica) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -278,7 +286,7 @@
 	return maps.Clone(r.hosts)
 }
 
-// Job returns what is known of a job, if it was accepted.
+// Job returns the entry of a job, if it was accepted.
 func (r *Replica) Job(id string) (Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -289,7 +297,7 @@
 	return *e, true
 }
 
-// EachJob calls f for every accepted job.
+// EachJob calls f for every accepted job. f must not call the replica.
 func (r *Replica) EachJob(f func(Entry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -300,7 +308,7 @@
 	}
 }
 
-// PendingJobs counts the jobs of a queue of which nothing was started.
+// PendingJobs returns the number of a queue's jobs of which no task was started.
 func (r *Replica) PendingJobs(queue string) int {
 	n := 0
 	r.EachJob(func(e Entry) {
