--- a/batch/account/account.go
+++ b/batch/account/account.go
@@ -1,5 +1,7 @@
-// Package account tells a batch job's story from hosts' logs: what was decided
-// about it, by whom, from what, and what happened around it.
+// Package account reconstructs the history of a batch job from the logs of all
+// hosts: the decisions about the job, which host took them and on what grounds, and
+// the cluster events at that time. It holds no state; the command line's account
+// command calls it.
 package account
 
 import (
@@ -13,18 +15,18 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one line of a log.
+// Line is one decoded log line.
 type Line struct {
-	Time   string // as written; its format sorts
+	Time   string // as written; sorts in order of time
 	Host   string
-	What   string // the message
+	What   string // the log message
 	Fields []Field
 }
 
-// Field is one key and value of a line.
+// Field is a key and its value in a log line.
 type Field struct{ Key, Value string }
 
-// Get returns a field's value, or "".
+// Get returns the value of the first field with the key, or "".
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -34,43 +36,43 @@
 	return ""
 }
 
-// Account is a job's story.
+// Account is the history of one job.
 type Account struct {
 	Job   string
 	Lines []Line // in order of time
-	Read  int    // lines read
+	Read  int    // number of lines read, of any job
 }
 
-// around lists the messages that may bear on any job.
-var around = map[string]bool{
+// clusterMessages lists the messages of cluster events, which may affect any job.
+var clusterMessages = map[string]bool{
 	"term acquired": true, "term ended": true, "term lost: its lease has ended": true, "term lost: another host leads": true,
 	"term given up": true, "term yielded to a stronger host": true, "records read": true, "store lost": true, "store regained": true,
 	"started": true, "stopping": true, "stopped": true, "evacuation": true, "log lines dropped: output too slow": true,
 }
 
 const (
-	maxLineBytes  = 1 << 20
-	progressLines = 200_000 // between two calls of progress
+	maxLineBytes     = 1 << 20
+	progressInterval = 200_000 // lines between two calls of progress
 )
 
 // Read reads logs and returns the account of a job. Lines may have a prefix
-// before their time. progress, when set, is told how many lines were read.
+// before their time. progress, when set, is called with the number of lines read.
 func Read(job string, logs []io.Reader, progress func(lines int)) (*Account, error) {
 	a := &Account{Job: job}
-	var context []Line
-	runners := make(map[string]bool)
-	var listings []Line
+	var clusterLines []Line
+	jobRunners := make(map[string]bool)
+	var runnerLines []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
 		scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 		for scanner.Scan() {
 			a.Read++
-			if progress != nil && a.Read%progressLines == 0 {
+			if progress != nil && a.Read%progressInterval == 0 {
 				progress(a.Read)
 			}
 			text := scanner.Bytes()
 			about := bytes.Contains(text, []byte(job))
-			if !about && !mayBear(text) {
+			if !about && !namesNoJob(text) {
 				continue
 			}
 			line, ok := parse(text)
@@ -78,25 +80,26 @@
 			case !ok:
 			case about:
 				a.Lines = append(a.Lines, line)
-				runners[line.Get("runner")] = true
+				jobRunners[line.Get("runner")] = true
 			case line.What == "runner" || line.What == "runner gone":
-				listings = append(listings, line)
-			case around[line.What]:
-				context = append(context, line)
+				runnerLines = append(runnerLines, line)
+			case clusterMessages[line.What]:
+				clusterLines = append(clusterLines, line)
 			}
 		}
 		if err := scanner.Err(); err != nil {
 			return nil, errors.Wrapf(err, "line %d of the logs", a.Read+1)
 		}
 	}
-	a.add(context, func(Line) bool { return true })
-	a.add(listings, func(l Line) bool { return runners[l.Get("runner")] })
+	a.addWithinJobTime(clusterLines, func(Line) bool { return true })
+	a.addWithinJobTime(runnerLines, func(l Line) bool { return jobRunners[l.Get("runner")] })
 	sort.SliceStable(a.Lines, func(i, j int) bool { return a.Lines[i].Time < a.Lines[j].Time })
 	return a, nil
 }
 
-// add takes lines between the first and the last about the job.
-func (a *Account) add(lines []Line, wanted func(Line) bool) {
+// addWithinJobTime adds the wanted lines that lie between the first and the last line
+// about the job.
+func (a *Account) addWithinJobTime(lines []Line, wanted func(Line) bool) {
 	if len(a.Lines) == 0 {
 		return
 	}
@@ -111,8 +114,8 @@
 	}
 }
 
-// mayBear reports, without decoding it, whether a line can be about no job in particular.
-func mayBear(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
+// namesNoJob reports, without decoding it, whether a line has no field job.
+func namesNoJob(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
 
 func parse(text []byte) (Line, bool) {
 	start := bytes.Index(text, []byte("time="))
@@ -143,10 +146,10 @@
 	}
 }
 
-// quiet are fields that say nothing where they have these values.
-var quiet = map[string]string{"occurrence": "0", "waited": "0s", "factor": "0", "work": "0s", "reason": ""}
+// omittedValues are default values of fields, which String leaves out.
+var omittedValues = map[string]string{"occurrence": "0", "waited": "0s", "factor": "0", "work": "0s", "reason": ""}
 
-// String returns the account as text, a line each.
+// String returns the account as text, one log line per line.
 func (a *Account) String() string {
 	if len(a.Lines) == 0 {
 		return "no line names job " + a.Job + "; give the logs of every host, from before its submission"
@@ -155,7 +158,7 @@
 	for _, l := range a.Lines {
 		out.WriteString(l.Time + "  " + l.Host + "  " + l.What)
 		for _, f := range l.Fields {
-			if value, ok := quiet[f.Key]; f.Key == "job" && f.Value == a.Job || ok && value == f.Value {
+			if value, ok := omittedValues[f.Key]; f.Key == "job" && f.Value == a.Job || ok && value == f.Value {
 				continue
 			}
 			out.WriteString("  " + f.Key + "=" + f.Value)
--- a/batch/conditions/conditions_test.go
+++ b/batch/conditions/conditions_test.go
@@ -18,13 +18,13 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-func quietLogger() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// plainFormat writes entries as this package's types, in JSON.
-var plainFormat = Format{
+// jsonFormat encodes a configuration as its version and a runner as JSON.
+var jsonFormat = Format{
 	OperatorPrefix: "operator/",
 	RunnerPrefix:   "runner/",
-	Document: func(item kvstore.Item) (Document, error) {
+	DecodeDocument: func(item kvstore.Item) (Document, error) {
 		d := Document{Configuration: &batch.Configuration{Revision: item.Revision}}
 		return d, json.Unmarshal(item.Value, &d.Configuration.Version)
 	},
@@ -35,7 +35,7 @@
 		}
 		return domain
 	},
-	Runner: func(item kvstore.Item) (batch.Runner, error) {
+	DecodeRunner: func(item kvstore.Item) (batch.Runner, error) {
 		var r batch.Runner
 		err := json.Unmarshal(item.Value, &r)
 		return r, err
@@ -43,11 +43,12 @@
 	RunnerID: func(key string) string { return strings.TrimPrefix(key, "runner/") },
 }
 
-// runnerItem is a heartbeat; beat changes with each.
+// runnerItem returns a runner's entry; beat differs between heartbeats.
 func runnerItem(id string, draining bool, beat int) kvstore.Item {
 	return kvstore.Item{Key: "runner/" + id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s","Draining":%t,"Beat":%d}`, id, draining, beat)}
 }
 
+// recordedEvents counts the events of each kind.
 type recordedEvents struct {
 	mu                     sync.Mutex
 	listed, unlisted, left int
@@ -66,11 +67,12 @@
 	return kvstore.Event{Item: kvstore.Item{Key: "runner/" + id}, Deleted: true}
 }
 
-// Heartbeats that only move the clock are not passed on; an entry that comes
-// back within the grace was never gone; one that can't be read is no runner.
-func TestRunnerListPassesOnWhatChanges(t *testing.T) {
+// Heartbeats that change nothing else are not reported. A runner whose entry comes
+// back within unlistGrace is not reported as unlisted. A runner whose entry can't
+// be decoded is.
+func TestRunnerListForwardsOnlyChanges(t *testing.T) {
 	events := &recordedEvents{}
-	l := newRunnerList(context.Background(), plainFormat, 1500*time.Millisecond, quietLogger(), events)
+	l := newRunnerList(context.Background(), jsonFormat, 1500*time.Millisecond, discardLogger(), events)
 	l.reset([]kvstore.Item{runnerItem("i-1", false, 1), runnerItem("i-2", false, 1)})
 	must.Eq(t, [3]int{2, 0, 0}, events.counts())
 	l.apply([]kvstore.Event{{Item: runnerItem("i-1", false, 2)}, {Item: runnerItem("i-1", false, 3)}})
@@ -80,72 +82,73 @@
 	l.apply([]kvstore.Event{deleted("i-1")})
 	l.reset(nil) // i-2 is missing, too
 	l.apply([]kvstore.Event{{Item: runnerItem("i-2", false, 6)}})
-	time.Sleep(missingGrace + 300*time.Millisecond)
+	time.Sleep(unlistGrace + 300*time.Millisecond)
 	must.Eq(t, [3]int{4, 1, 0}, events.counts())
 	l.apply([]kvstore.Event{{Item: kvstore.Item{Key: "runner/i-2", Value: []byte("\x00")}}})
 	must.Eq(t, [3]int{4, 2, 0}, events.counts())
 }
 
-// played is one look at the store: when it was sent and what it brought.
-type played struct {
+// storeRead is one read of the store: when it was sent and what it returned.
+type storeRead struct {
 	sent      time.Duration
 	listed    bool // the prefix is listed, not watched
-	truncated bool // more changes wait than were brought
-	beats     bool // a heartbeat of the runner is among them
+	truncated bool // the store had more changes than it returned
+	heartbeat bool // a heartbeat of the runner is among the changes
 }
 
-// An entry that goes soon after a heartbeat is that of a runner that left. A
-// runner that is only silent may be alive and have done its work, so nothing
-// that hides the silence may look like leaving: gaps, slow answers, changes read
-// late, and entries listed anew.
-func TestRunnerThatLeftIsToldFromASilentOne(t *testing.T) {
-	const beat = 1500 * time.Millisecond
-	watched := func(sent time.Duration) played { return played{sent: sent, beats: true} }
+// A runner whose entry is deleted soon after a heartbeat has left. A runner that is
+// only silent may be alive and may have done its work, so it must not be taken for
+// one that left when its silence is hidden by gaps in watching, slow answers,
+// changes that are read late, or a new list of the entries.
+func TestDepartedRunnerIsDistinguishedFromSilentRunner(t *testing.T) {
+	const heartbeat = 1500 * time.Millisecond
+	watched := func(sent time.Duration) storeRead { return storeRead{sent: sent, heartbeat: true} }
 	for name, test := range map[string]struct {
-		heartbeat time.Duration
-		looks     []played
-		gone      time.Duration // when the entry is seen to be gone
-		want      [3]int
+		heartbeat    time.Duration
+		reads        []storeRead
+		deletionSeen time.Duration // when the deletion of the entry is read
+		want         [3]int
 	}{
-		"left":                {beat, []played{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
-		"left, often watched": {beat, []played{{sent: 0}, watched(time.Second), watched(2 * time.Second), {sent: 3 * time.Second}}, 4500 * time.Millisecond, [3]int{1, 0, 1}},
-		"silent":              {beat, []played{{sent: 0}, watched(time.Second), {sent: 2 * time.Second}}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
-		"gap in watching":     {beat, []played{{sent: 0}, watched(time.Second)}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
-		"short heartbeats":    {beat / 3, []played{{sent: 0}, watched(time.Second)}, 1600 * time.Millisecond, [3]int{1, 0, 0}},
-		"slow answers":        {beat, []played{{sent: 0}, watched(2400 * time.Millisecond)}, 4600 * time.Millisecond, [3]int{1, 0, 0}},
-		"listed anew":         {beat, []played{{sent: 0}, {sent: 3 * time.Second, listed: true, beats: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
-		"read late":           {beat, []played{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
+		"left":                {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
+		"left, often watched": {heartbeat, []storeRead{{sent: 0}, watched(time.Second), watched(2 * time.Second), {sent: 3 * time.Second}}, 4500 * time.Millisecond, [3]int{1, 0, 1}},
+		"silent":              {heartbeat, []storeRead{{sent: 0}, watched(time.Second), {sent: 2 * time.Second}}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
+		"gap in watching":     {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 5500 * time.Millisecond, [3]int{1, 0, 0}},
+		"short heartbeats":    {heartbeat / 3, []storeRead{{sent: 0}, watched(time.Second)}, 1600 * time.Millisecond, [3]int{1, 0, 0}},
+		"slow answers":        {heartbeat, []storeRead{{sent: 0}, watched(2400 * time.Millisecond)}, 4600 * time.Millisecond, [3]int{1, 0, 0}},
+		"new list":            {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, listed: true, heartbeat: true}}, 3500 * time.Millisecond, [3]int{1, 0, 0}},
+		"changes read late":   {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			events := &recordedEvents{}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			l := newRunnerList(ctx, plainFormat, test.heartbeat, quietLogger(), events)
+			l := newRunnerList(ctx, jsonFormat, test.heartbeat, discardLogger(), events)
 			began := steady.Now()
 			l.reset([]kvstore.Item{runnerItem("i-1", true, 1)})
-			for i, look := range test.looks {
-				l.asking(began.Add(look.sent))
+			for i, read := range test.reads {
+				l.readStarted(began.Add(read.sent))
 				item := runnerItem("i-1", true, i+2)
 				switch {
-				case look.listed:
+				case read.listed:
 					l.reset([]kvstore.Item{item})
-				case look.beats:
+				case read.heartbeat:
 					l.apply([]kvstore.Event{{Item: item}})
 				}
-				if look.truncated {
-					l.behind()
+				if read.truncated {
+					l.readTruncated()
 				}
-				l.current()
+				l.readDone()
 			}
-			l.gone("i-1", began.Add(test.gone))
+			l.entryDeleted("i-1", began.Add(test.deletionSeen))
 			must.Eq(t, test.want, events.counts())
 		})
 	}
 }
 
-// A configuration never gives way to an older one, nor to an unreadable one.
-func TestConfigurationNeverReverts(t *testing.T) {
-	c := New(nil, plainFormat, time.Second, quietLogger())
+// The configuration in force stays when an older one or one that can't be decoded
+// is read.
+func TestConfigurationIsNotReplacedByOlderOrUnreadableOne(t *testing.T) {
+	c := New(nil, jsonFormat, time.Second, discardLogger())
 	apply := func(revision uint64, text string) {
 		c.applyDocuments([]kvstore.Event{{Item: kvstore.Item{Key: "operator/configuration", Value: []byte(text), Revision: revision}}})
 	}
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -20,83 +20,89 @@
 )
 
 const (
-	// decideEvery bounds how late a decision that only time brings is taken.
-	decideEvery = 100 * time.Millisecond
+	// decideInterval bounds the delay of decisions that become due only by the
+	// passage of time.
+	decideInterval = 100 * time.Millisecond
 
-	// decidePause lies between two decisions, so that a burst is decided at once.
-	decidePause = 5 * time.Millisecond
+	// minDecidePause is the shortest pause between two decisions, so that a burst of
+	// changes is handled in one decision.
+	minDecidePause = 5 * time.Millisecond
 
-	// decideShare keeps decisions from taking more than a third of the processor.
-	decideShare = 2
+	// decidePauseFactor is the shortest pause after a decision as a multiple of the
+	// decision's duration. It keeps decisions from taking more than a third of the
+	// processor.
+	decidePauseFactor = 2
 
-	loadTimeout = 3 * time.Second        // a few pages of a slow store
-	loadRetry   = 100 * time.Millisecond // nothing else can be done meanwhile
+	loadTimeout    = 3 * time.Second        // reads a few pages from a slow store
+	loadRetryDelay = 100 * time.Millisecond // short: the leader can do nothing else meanwhile
 )
 
-// Conditions is what operators and runners say, as the host follows it.
+// Conditions gives the leader the operators' documents and the runners' entries,
+// as the host follows them in the store.
 type Conditions interface {
 	Configuration() *batch.Configuration // nil: none yet
 	Evacuated() map[string]bool
-	// FollowRunners tells of runners until ctx ends.
+	// FollowRunners reports changes of the runners until ctx ends.
 	FollowRunners(ctx context.Context, to RunnerEvents)
 }
 
-// RunnerEvents takes what is said of runners. It is safe for concurrent use.
+// RunnerEvents receives changes of the runners. It is safe for concurrent use.
 type RunnerEvents interface {
-	Listed(r batch.Runner) // it is there, or says something new of itself
-	Unlisted(id string)    // it is silent, or its entry can't be used; it may still run tasks
-	Left(id string)        // it has ended, and so has all that ran on it
+	Listed(r batch.Runner) // the runner is new or its entry has changed
+	Unlisted(id string)    // it sends no heartbeats or its entry is invalid; it may still run tasks
+	Left(id string)        // it has ended, and so have all its tasks
 }
 
-// Options of a Leader.
+// Options are the dependencies and limits of a Leader.
 type Options struct {
-	Store      kvstore.Keyspace
-	Replica    *ledger.Replica
-	Runners    Runners
-	Askers     Askers
-	Conditions Conditions
-	Log        *log.Logger
-	Metrics    *metrics.Set     // nil: nothing is counted
-	Now        func() time.Time // time of day, without jumps
+	Store         kvstore.Keyspace
+	Replica       *ledger.Replica
+	Runners       Runners
+	AdviserRoutes AdviserRoutes
+	Conditions    Conditions
+	Log           *log.Logger
+	Metrics       *metrics.Set     // nil: no metrics
+	Now           func() time.Time // returns the time of day; it never jumps
 
-	Lease        time.Duration // of what runs on a runner
-	Cores        float64       // of processor time of this host
-	Early        time.Duration
-	RemoteFactor float64
+	RunnerLease  time.Duration // lease of a runner, which all its tasks share
+	Cores        float64       // processor cores that this host may use
+	Early        time.Duration // how early an occurrence may start
+	RemoteFactor float64       // slow-down of tasks away from their gang's rack or their data
 }
 
-// Leader schedules during one term.
+// Leader schedules during one term. It owns the scheduler's core and one
+// runnerLink for each runner.
 type Leader struct {
 	Options
 	term *Term
 
-	mu        sync.Mutex // guards the core and the maps
+	mu        sync.Mutex // guards core and the maps
 	core      *scheduler.Core
-	revisions map[string]uint64      // of the progress record of each job
-	states    map[string]batch.State // as callers are told
-	links     map[string]*link
-	askers    map[string]*asker // by address
+	revisions map[string]uint64        // by job: revision of its progress record in the store
+	states    map[string]batch.State   // by job: state that callers see, as last committed
+	links     map[string]*runnerLink   // by runner ID
+	routes    map[string]*adviserRoute // by host address
 
-	wake       chan struct{} // something may be decided
-	toRecord   chan struct{} // a record changed
-	toAsk      chan struct{} // a question for the adviser may be due
-	committed  chan struct{} // closed and replaced after each commit; guarded by mu
-	background sync.WaitGroup
+	decisionDue  chan struct{} // an event may allow a decision
+	recordsDirty chan struct{} // a progress record changed
+	adviceDue    chan struct{} // a question to the adviser may be due
+	committed    chan struct{} // closed and replaced after each commit; guarded by mu
+	background   sync.WaitGroup
 }
 
-// Lead schedules until ctx ends, which the end of the term brings about too.
+// Lead schedules until ctx ends. The end of the term ends ctx, too.
 func Lead(ctx context.Context, o Options, t *Term) {
 	l := &Leader{
-		Options:   o,
-		term:      t,
-		revisions: make(map[string]uint64),
-		states:    make(map[string]batch.State),
-		links:     make(map[string]*link),
-		askers:    make(map[string]*asker),
-		wake:      make(chan struct{}, 1),
-		toRecord:  make(chan struct{}, 1),
-		toAsk:     make(chan struct{}, 1),
-		committed: make(chan struct{}),
+		Options:      o,
+		term:         t,
+		revisions:    make(map[string]uint64),
+		states:       make(map[string]batch.State),
+		links:        make(map[string]*runnerLink),
+		routes:       make(map[string]*adviserRoute),
+		decisionDue:  make(chan struct{}, 1),
+		recordsDirty: make(chan struct{}, 1),
+		adviceDue:    make(chan struct{}, 1),
+		committed:    make(chan struct{}),
 	}
 	defer l.background.Wait()
 	if !l.load(ctx) {
@@ -105,37 +111,38 @@
 	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEvents{ctx, l}) })
 	l.background.Go(func() { l.recordLoop(ctx) })
 	l.background.Go(func() { l.speedsLoop(ctx) })
-	if l.Askers.Own != nil {
+	if l.AdviserRoutes.Local != nil {
 		l.background.Go(func() { l.adviceLoop(ctx) })
 	}
 	l.decideLoop(ctx)
 }
 
-// load reads what earlier terms recorded. Nothing they write comes later: each
-// of their writes demands their own term.
+// load reads the records of earlier terms and builds the core from them. Earlier
+// terms can't write afterwards: each of their writes is conditional on their own
+// term.
 func (l *Leader) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, loadTimeout)
 		found, err := l.readAll(call)
 		cancel()
 		if err == nil {
-			l.build(found)
+			l.buildCore(found)
 			return true
 		}
-		l.Log.Warn("records not read; trying again", "err", err)
-		pause.For(ctx, loadRetry)
+		l.Log.Warn("reading records failed; retrying", "err", err)
+		pause.For(ctx, loadRetryDelay)
 	}
 	return false
 }
 
-// records is what earlier terms left in the store.
-type records struct {
+// storedRecords are the records of earlier terms in the store.
+type storedRecords struct {
 	jobs, progress []kvstore.Item
 	speeds         batch.Speeds
 }
 
-func (l *Leader) readAll(ctx context.Context) (found records, err error) {
-	if found.jobs, _, err = l.Store.List(ctx, ledger.Prefix); err != nil {
+func (l *Leader) readAll(ctx context.Context) (found storedRecords, err error) {
+	if found.jobs, _, err = l.Store.List(ctx, ledger.ReplicaPrefix); err != nil {
 		return found, err
 	}
 	if found.progress, _, err = l.Store.List(ctx, ledger.ProgressPrefix); err != nil {
@@ -145,58 +152,59 @@
 	return found, err
 }
 
-func (l *Leader) build(found records) {
-	whole := ledger.NewReplica(l.Log)
-	whole.Reset(found.jobs)
+func (l *Leader) buildCore(found storedRecords) {
+	replica := ledger.NewReplica(l.Log)
+	replica.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
-		MaxEarlyStart:     l.Early,
-		RemoteFactor:      l.RemoteFactor,
-		InheritedLeaseEnd: now.Add(slowest(l.Lease)),
-		LearnedSpeeds:     found.speeds,
-		Observe:           l.observe,
+		MaxEarlyStart:          l.Early,
+		RemoteFactor:   l.RemoteFactor,
+		InheritedLeaseEnd: now.Add(maxLeaseDuration(l.RunnerLease)),
+		LearnedSpeeds:        found.speeds,
+		Observe:        l.logDecision,
 	})
 	recorded := make(map[string]kvstore.Item, len(found.progress))
 	for _, item := range found.progress {
-		recorded[ledger.ProgressJob(item.Key)] = item
+		recorded[ledger.JobFromProgressKey(item.Key)] = item
 	}
 	n := 0
-	whole.Each(func(e ledger.Entry) {
+	replica.EachJob(func(e ledger.Entry) {
 		l.addJob(e, recorded[e.Job.ID], now)
 		n++
 	})
 	l.Log.Info("records read", "token", l.term.Token, "jobs", n, "speeds", len(found.speeds.Runners))
 }
 
-// addJob gives a job to the core with its progress record, if there is one.
-// The caller holds mu, or is alone.
+// addJob adds a job to the core with its progress record, if there is one. The
+// caller holds mu, or no other goroutine uses the leader yet.
 func (l *Leader) addJob(e ledger.Entry, progress kvstore.Item, now steady.Time) {
 	id := e.Job.ID
 	var recorded *batch.Progress
 	if progress.Revision != 0 {
 		p, err := ledger.DecodeProgress(progress.Value)
 		if err != nil {
-			l.Log.Error("progress is unreadable; the job is left alone", "job", id, "revision", progress.Revision, "err", err)
+			l.Log.Error("progress record can't be decoded; job is not scheduled", "job", id, "revision", progress.Revision, "err", err)
 			return
 		}
 		recorded = &p
 	}
 	l.revisions[id] = progress.Revision
-	l.states[id] = e.Recorded
+	l.states[id] = e.RecordedState
 	l.core.AddJob(e.Job, recorded, now)
 	if e.Cancelled {
 		l.core.CancelJob(id, now)
 	}
 }
 
-func (l *Leader) observe(d scheduler.Decision) {
-	l.count(d)
+// logDecision logs and counts a decision.
+func (l *Leader) logDecision(d scheduler.Decision) {
+	l.countDecision(d)
 	l.Log.Info(d.What, "job", d.Job, "occurrence", d.Task.Occurrence, "step", d.Task.Step, "task", d.Task.Index,
 		"attempt", d.Attempt, "runner", d.Runner, "reason", d.Reason, "token", l.term.Token, "waited", d.Waited.Round(time.Millisecond),
 		"factor", math.Round(d.TimeFactor*100)/100, "work", d.Work.Round(time.Millisecond))
 }
 
-func (l *Leader) count(d scheduler.Decision) {
+func (l *Leader) countDecision(d scheduler.Decision) {
 	if l.Metrics == nil {
 		return
 	}
@@ -209,32 +217,32 @@
 	}
 }
 
-// decideLoop takes in what changed, decides, and sends what was decided.
+// decideLoop passes changes to the core, decides and sends the resulting orders.
 func (l *Leader) decideLoop(ctx context.Context) {
 	changed := l.Replica.Watch()
-	timer := time.NewTicker(decideEvery)
+	timer := time.NewTicker(decideInterval)
 	defer timer.Stop()
 	for {
 		began := steady.Now()
 		l.decide(ctx)
-		pause.For(ctx, max(decidePause, decideShare*steady.Now().Sub(began)))
+		pause.For(ctx, max(minDecidePause, decidePauseFactor*steady.Now().Sub(began)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-l.wake:
+		case <-l.decisionDue:
 		case <-changed:
-			l.takeJobs()
+			l.addNewJobs()
 		}
 	}
 }
 
-// takeJobs gives the core the jobs and cancellations that it doesn't have.
-func (l *Leader) takeJobs() {
+// addNewJobs passes new jobs and cancellations from the replica to the core.
+func (l *Leader) addNewJobs() {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Replica.Each(func(e ledger.Entry) {
+	l.Replica.EachJob(func(e ledger.Entry) {
 		if _, known := l.core.JobState(e.Job.ID); !known {
 			l.addJob(e, kvstore.Item{}, now)
 		} else if e.Cancelled {
@@ -255,11 +263,11 @@
 	orders := l.core.TakeOrders()
 	asks := l.core.HasAdvisedJobs()
 	l.mu.Unlock()
-	l.send(ctx, orders)
+	l.sendOrders(ctx, orders)
 	if asks {
-		signal(l.toAsk)
+		signal(l.adviceDue)
 	}
-	signal(l.toRecord)
+	signal(l.recordsDirty)
 }
 
 func signal(c chan struct{}) {
@@ -269,18 +277,21 @@
 	}
 }
 
-// slowest returns how long a lease of d can last on the slowest runner's clock.
-func slowest(d time.Duration) time.Duration {
-	return d*103/100 + clockSlack
+// maxLeaseDuration returns how long a lease of d may last when the runner's clock
+// is the slowest one allowed for: 3 % slow, plus clockReadSlack.
+func maxLeaseDuration(d time.Duration) time.Duration {
+	return d*103/100 + clockReadSlack
 }
 
-// clockSlack covers the way of a report that a runner's clock was read from.
-const clockSlack = 300 * time.Millisecond
+// clockReadSlack covers the latency of the report from which a runner's clock was
+// read.
+const clockReadSlack = 300 * time.Millisecond
 
-func (l *Leader) lost(reason string, err error) {
+// giveUpTerm logs the reason and ends the term.
+func (l *Leader) giveUpTerm(reason string, err error) {
 	l.Log.Warn("term given up", "token", l.term.Token, "reason", reason, "err", err)
 	l.term.End()
 }
 
-// errForeignWrite means that a record was changed by somebody else.
+// errForeignWrite means that another writer changed a progress record.
 var errForeignWrite = errors.New("dispatch: a record was changed by another writer")
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -15,57 +15,60 @@
 )
 
 const (
-	// holdWaitMin and holdWaitMax bound how long a runner may wait for an end
-	// before it reports. Progress, checkpoints and silence are seen that often;
-	// the platform allows two seconds.
-	holdWaitMin = time.Second
-	holdWaitMax = 2 * time.Second
+	// minHoldWait and maxHoldWait bound how long a runner may wait for a task to end
+	// before it answers a hold. Progress, checkpoints and silent runners are noticed
+	// at this interval; the platform allows two seconds.
+	minHoldWait = time.Second
+	maxHoldWait = 2 * time.Second
 
-	// holdsPerCore is how many holds a second one core spends its time on. A host
-	// of 0.144 cores kept up with three times as many, so bursts have room.
-	holdsPerCore = 400
+	// holdsPerCoreSecond is the budget of holds per second for each core. A host of
+	// 0.144 cores kept up with three times as many, which leaves room for bursts.
+	holdsPerCoreSecond = 400
 
-	holdGrace    = 600 * time.Millisecond // beyond the wait, for a slow answer
-	holdRetry    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryMax
-	holdRetryMax = 800 * time.Millisecond // several tries within a runner's shortest lease
+	holdGrace         = 600 * time.Millisecond // allowance beyond the wait, for a slow answer
+	holdRetryDelay    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryDelayMax
+	holdRetryDelayMax = 800 * time.Millisecond // allows several tries within a runner's shortest lease
 
-	// recordWait is how long a hold waits for the ends of the last report to be
-	// recorded, so that it can acknowledge them: many commits' time.
-	recordWait = 250 * time.Millisecond
+	// endRecordTimeout is how long the next hold is delayed until the ends in the
+	// last report are recorded, so that it can acknowledge them: time for many
+	// commits.
+	endRecordTimeout = 250 * time.Millisecond
 
-	// unrecordedPause lies between holds while ends can't be recorded: a runner
-	// with unacknowledged ends answers at once. It costs two calls a second.
-	unrecordedPause = 400 * time.Millisecond
+	// unrecordedHoldPause is the pause between holds while ends can't be recorded: a
+	// runner with unacknowledged ends answers at once. This costs two calls a second.
+	unrecordedHoldPause = 400 * time.Millisecond
 
-	startTries   = 3
-	startTimeout = 450 * time.Millisecond // three tries end before the rest of a gang has waited too long
-	stopTimeout  = 500 * time.Millisecond // a hundred round trips within a region
-	stopRetry    = 100 * time.Millisecond // doubles up to stopRetryMax
-	stopRetryMax = time.Second            // a cancelled task must be gone within three seconds of a cut's end
+	maxStartTries     = 3
+	startTimeout      = 450 * time.Millisecond // three tries end before the rest of a gang has waited too long
+	stopTimeout       = 500 * time.Millisecond // time for a hundred round trips within a region
+	stopRetryDelay    = 100 * time.Millisecond // doubles up to stopRetryDelayMax
+	stopRetryDelayMax = time.Second            // a cancelled task must be gone within three seconds of a network partition's end
 )
 
-// link is the connection to one runner. Its fields are guarded by the leader's mu.
-type link struct {
+// runnerLink is what the leader keeps about one runner that it holds. Its fields
+// are guarded by Leader.mu.
+type runnerLink struct {
 	runner batch.Runner
 
-	// The runner's clock when it was last read.
+	// The runner's clock in its last report, and when that report arrived here.
 	clock   time.Duration
 	clockAt steady.Time
 }
 
-// holdWait is longer where a weak host holds many runners.
+// holdWait returns how long runners may wait before they answer a hold. It grows
+// with the number of runners per core of this host.
 func (l *Leader) holdWait() time.Duration {
 	l.mu.Lock()
 	n := len(l.links)
 	l.mu.Unlock()
 	if l.Cores <= 0 {
-		return holdWaitMin
+		return minHoldWait
 	}
-	wait := time.Duration(float64(n) / (holdsPerCore * l.Cores) * float64(time.Second))
-	return min(max(wait, holdWaitMin), holdWaitMax)
+	wait := time.Duration(float64(n) / (holdsPerCoreSecond * l.Cores) * float64(time.Second))
+	return min(max(wait, minHoldWait), maxHoldWait)
 }
 
-// runnerEvents passes what is said of runners on to a leader, for one term.
+// runnerEvents implements RunnerEvents for a leader during one term.
 type runnerEvents struct {
 	ctx context.Context
 	*Leader
@@ -80,9 +83,9 @@
 		known.runner = r
 		return
 	}
-	l.links[r.ID] = &link{runner: r}
+	l.links[r.ID] = &runnerLink{runner: r}
 	l.background.Go(func() { l.holdLoop(l.ctx, r.ID) })
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
 // Unlisted implements RunnerEvents.
@@ -90,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerUnlisted(id)
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
 // Left implements RunnerEvents.
@@ -98,19 +101,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerLeft(id, steady.Now())
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
-// holdLoop holds a runner until it is neither listed nor needed.
+// holdLoop sends holds to a runner until it is neither listed nor may run tasks.
 func (l *Leader) holdLoop(ctx context.Context, id string) {
 	wait := time.Duration(0) // the first hold only reads the clock
-	retry := pause.Backoff{First: holdRetry, Most: holdRetryMax}
+	retry := pause.Backoff{First: holdRetryDelay, Most: holdRetryDelayMax}
 	for ctx.Err() == nil {
 		to, order, ok := l.nextHold(id, wait)
 		if !ok {
 			return
 		}
-		if l.hold(ctx, to, order) {
+		if l.sendHold(ctx, to, order) {
 			retry.Reset()
 			wait = l.afterReport(ctx, id, order.Deadline == 0)
 			continue
@@ -120,7 +123,7 @@
 	}
 }
 
-// nextHold builds the next hold; ok is false when the runner isn't needed.
+// nextHold builds the next hold. ok is false when the runner is no longer needed.
 func (l *Leader) nextHold(id string, wait time.Duration) (to batch.Runner, o HoldOrder, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,27 +133,29 @@
 		return batch.Runner{}, HoldOrder{}, false
 	}
 	o = HoldOrder{Token: l.term.Token, Acknowledged: l.core.AcknowledgedEnd(id), Wait: wait}
-	o.Deadline = l.deadline(k)
+	o.Deadline = l.extendLease(k)
 	return k.runner, o, true
 }
 
-// deadline returns how far the runner's lease may be extended, on its clock,
-// and notes it. It is zero while the clock is unknown. The caller holds mu.
-func (l *Leader) deadline(k *link) time.Duration {
+// extendLease returns the time on the runner's clock until which an order may
+// extend its lease, and notes the extension in the core. It returns zero while the
+// clock is unknown or the lease may not be extended. The caller holds mu.
+func (l *Leader) extendLease(k *runnerLink) time.Duration {
 	now := steady.Now()
 	if k.clockAt.IsZero() || !l.core.MayExtendLease(k.runner.ID, now) {
 		return 0
 	}
-	lease := min(l.Lease, l.term.HoldLimit(l.Lease).Sub(now))
+	lease := min(l.RunnerLease, l.term.RunnerLeaseLimit(l.RunnerLease).Sub(now))
 	if lease <= 0 {
 		return 0
 	}
-	l.core.NoteLeaseExtension(k.runner.ID, now.Add(slowest(lease)))
+	l.core.NoteLeaseExtension(k.runner.ID, now.Add(maxLeaseDuration(lease)))
 	return k.clock + now.Sub(k.clockAt) + lease
 }
 
-// hold makes one hold and takes the report in.
-func (l *Leader) hold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
+// sendHold sends one hold and passes the report to the core. It returns false when
+// the hold wasn't accepted.
+func (l *Leader) sendHold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
 	call, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
 	asked := steady.Now()
@@ -158,7 +163,7 @@
 	now := steady.Now()
 	l.countHold(answer)
 	if answer == Fenced {
-		l.lost("a runner has seen a later term", nil)
+		l.giveUpTerm("a runner has seen a later term", nil)
 		return false
 	}
 	l.mu.Lock()
@@ -169,7 +174,7 @@
 		}
 		refused := answer == OtherIncarnation || errors.Is(err, syscall.ECONNREFUSED)
 		l.core.RunnerUnreachable(to.ID, refused, now)
-		signal(l.wake)
+		signal(l.decisionDue)
 		return false
 	}
 	if k := l.links[to.ID]; k != nil {
@@ -177,7 +182,7 @@
 	}
 	l.core.HandleReport(to.ID, asked, report, now)
 	if len(report.Ended) > 0 || o.Deadline == 0 {
-		signal(l.wake)
+		signal(l.decisionDue)
 	}
 	return true
 }
@@ -188,19 +193,20 @@
 	}
 }
 
-// afterReport waits for the report's ends to be recorded. It returns how long
-// the next hold may wait at the runner.
-func (l *Leader) afterReport(ctx context.Context, id string, first bool) time.Duration {
-	if first {
+// afterReport waits until the ends in the report are recorded. It returns how long
+// the next hold may wait at the runner. clockOnly says that the last hold only read
+// the runner's clock and did not extend its lease.
+func (l *Leader) afterReport(ctx context.Context, id string, clockOnly bool) time.Duration {
+	if clockOnly {
 		return 0 // extend the lease at once
 	}
-	limit := time.NewTimer(recordWait)
+	limit := time.NewTimer(endRecordTimeout)
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
-		open, committed := l.core.HasUnacknowledgedEnds(id), l.committed
+		unacknowledged, committed := l.core.HasUnacknowledgedEnds(id), l.committed
 		l.mu.Unlock()
-		if !open {
+		if !unacknowledged {
 			return l.holdWait()
 		}
 		select {
@@ -208,44 +214,45 @@
 		case <-ctx.Done():
 			return 0
 		case <-limit.C:
-			pause.For(ctx, unrecordedPause)
+			pause.For(ctx, unrecordedHoldPause)
 			return 0
 		}
 	}
 }
 
-// send sends orders, each by itself, so that a gang starts together and a
-// silent runner holds up nothing else.
-func (l *Leader) send(ctx context.Context, orders []scheduler.Order) {
+// sendOrders sends each order in its own goroutine, so that the tasks of a gang
+// start together and a silent runner doesn't delay other orders.
+func (l *Leader) sendOrders(ctx context.Context, orders []scheduler.Order) {
 	for _, o := range orders {
 		l.background.Go(func() {
 			if o.Kind == scheduler.StartRun {
-				l.answered(o, l.start(ctx, o))
+				l.passAnswer(o, l.startRun(ctx, o))
 				return
 			}
-			l.stop(ctx, o)
+			l.stopRun(ctx, o)
 		})
 	}
 }
 
-func (l *Leader) answered(o scheduler.Order, a scheduler.Answer) {
+// passAnswer passes the answer to an order to the core.
+func (l *Leader) passAnswer(o scheduler.Order, a scheduler.Answer) {
 	now := steady.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.HandleAnswer(o, a, now)
-	signal(l.wake)
+	signal(l.decisionDue)
 }
 
-// start sends a start until it is answered, a few times. Once a try may have
-// left without an answer, only an acceptance is clear: the runner may still
-// carry out the earlier try.
-func (l *Leader) start(ctx context.Context, o scheduler.Order) scheduler.Answer {
-	doubt := false
-	for range startTries {
-		if !l.term.Valid() && !doubt {
+// startRun sends a start order until it is answered, at most maxStartTries times.
+// Once a try may have been sent without an answer, only Accepted is conclusive: the
+// runner may still carry out the earlier try.
+func (l *Leader) startRun(ctx context.Context, o scheduler.Order) scheduler.Answer {
+	ambiguous := false
+	for range maxStartTries {
+		if !l.term.Valid() && !ambiguous {
 			return scheduler.NotExecuted
 		}
-		answer, sent, err := l.startOnce(ctx, o)
+		answer, sent, err := l.sendStart(ctx, o)
 		if answer == Accepted {
 			return scheduler.Accepted
 		}
@@ -253,16 +260,16 @@
 			l.Log.Debug("start failed", "job", o.Task.Job, "step", o.Task.Step, "task", o.Task.Index, "runner", o.Runner.ID, "err", err)
 		}
 		if answer == Unanswered {
-			doubt = doubt || sent
+			ambiguous = ambiguous || sent
 			continue
 		}
 		if answer == Fenced {
-			l.lost("a runner has seen a later term", nil)
+			l.giveUpTerm("a runner has seen a later term", nil)
 		}
 		l.Log.Info("start refused", "job", o.Task.Job, "step", o.Task.Step, "task", o.Task.Index,
-			"attempt", o.Attempt, "runner", o.Runner.ID, "answer", int(answer), "earlier-try", doubt)
+			"attempt", o.Attempt, "runner", o.Runner.ID, "answer", int(answer), "earlier-try", ambiguous)
 		switch {
-		case doubt:
+		case ambiguous:
 			return scheduler.OutcomeUnknown
 		case answer == Unhealthy || answer == OtherIncarnation:
 			return scheduler.Unhealthy
@@ -270,22 +277,24 @@
 			return scheduler.NotExecuted
 		}
 	}
-	if doubt {
+	if ambiguous {
 		return scheduler.OutcomeUnknown
 	}
 	return scheduler.Unhealthy
 }
 
-func (l *Leader) startOnce(ctx context.Context, o scheduler.Order) (answer Answer, sent bool, err error) {
+// sendStart sends a start order once. sent is false when it certainly did not leave
+// this host.
+func (l *Leader) sendStart(ctx context.Context, o scheduler.Order) (answer Answer, sent bool, err error) {
 	l.mu.Lock()
 	k := l.links[o.Runner.ID]
 	var deadline time.Duration
 	if k != nil {
-		deadline = l.deadline(k)
+		deadline = l.extendLease(k)
 	}
 	l.mu.Unlock()
 	if deadline == 0 {
-		return Unanswered, false, errors.New("runner not heard of lately; its lease can't be extended")
+		return Unanswered, false, errors.New("no recent report from the runner; its lease can't be extended")
 	}
 	call, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -295,13 +304,13 @@
 	return answer, !errors.Is(err, ErrNotSent), err
 }
 
-// stop sends a stop until it is answered or the run is gone.
-func (l *Leader) stop(ctx context.Context, o scheduler.Order) {
-	retry := pause.Backoff{First: stopRetry, Most: stopRetryMax}
+// stopRun sends a stop order until it is answered or the runner is no longer needed.
+func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
+	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
 	for ctx.Err() == nil && l.stopDue(o) {
-		to, known := l.linked(o.Runner.ID)
-		if !known { // inherited from an earlier term; not listed yet
-			pause.For(ctx, stopRetry)
+		to, known := l.listedRunner(o.Runner.ID)
+		if !known { // run inherited from an earlier term; its runner isn't listed yet
+			pause.For(ctx, stopRetryDelay)
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, stopTimeout)
@@ -309,20 +318,20 @@
 		cancel()
 		switch answer {
 		case Unanswered, Unhealthy:
-			l.Log.Debug("stop failed; trying again", "job", o.Task.Job, "runner", o.Runner.ID, "err", err)
+			l.Log.Debug("stop failed; retrying", "job", o.Task.Job, "runner", o.Runner.ID, "err", err)
 			retry.Wait(ctx)
 		case Fenced:
-			l.lost("a runner has seen a later term", nil)
+			l.giveUpTerm("a runner has seen a later term", nil)
 			return
 		default:
-			l.answered(o, scheduler.Accepted)
+			l.passAnswer(o, scheduler.Accepted)
 			return
 		}
 	}
 }
 
-// linked returns a runner as it is listed now.
-func (l *Leader) linked(id string) (batch.Runner, bool) {
+// listedRunner returns the runner as last listed.
+func (l *Leader) listedRunner(id string) (batch.Runner, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.links[id]
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// groupSize is how many records one transaction takes: each needs a
+	// maxRecordsPerTxn is how many records fit into one transaction: each needs a
 	// condition and up to two puts, and the term needs a condition.
-	groupSize = (kvstore.MaxTxnEntries - 1) / 3
+	maxRecordsPerTxn = (kvstore.MaxTxnEntries - 1) / 3
 
-	commitTimeout  = 1500 * time.Millisecond // four times the slowest store's answer, direct and through a peer
-	commitRetry    = 50 * time.Millisecond   // doubles up to commitRetryMax
-	commitRetryMax = 250 * time.Millisecond  // four calls a second are little for the store
+	commitTimeout       = 1500 * time.Millisecond // four times the slowest store's answer, direct and through a peer
+	commitRetryDelay    = 50 * time.Millisecond   // doubles up to commitRetryDelayMax
+	commitRetryDelayMax = 250 * time.Millisecond  // four calls a second are a small load for the store
 )
 
-// recordLoop commits changed records, one group at a time. Each record has one
-// write in flight, and each write demands the revision of the one before, so a
-// write that the store carries out late changes nothing.
+// recordLoop commits changed progress records, one group at a time. Each record
+// has at most one write in flight, and each write is conditional on the revision of
+// the one before, so a write that the store carries out late changes nothing.
 func (l *Leader) recordLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.toRecord:
+		case <-l.recordsDirty:
 		}
-		for l.recordGroup(ctx) {
+		for l.commitGroup(ctx) {
 		}
 	}
 }
 
-// recordGroup commits one group. It returns false when nothing is left.
-func (l *Leader) recordGroup(ctx context.Context) bool {
+// commitGroup commits up to maxRecordsPerTxn changed records. It returns false when
+// none is left or the term has ended.
+func (l *Leader) commitGroup(ctx context.Context) bool {
 	l.mu.Lock()
-	records := l.core.TakeRecords(groupSize)
-	txn, err := l.transaction(records)
+	records := l.core.TakeRecords(maxRecordsPerTxn)
+	txn, err := l.progressTxn(records)
 	l.mu.Unlock()
 	if len(records) == 0 {
 		return false
 	}
 	if err != nil {
-		l.lost("a record can't be encoded", err)
+		l.giveUpTerm("a record can't be encoded", err)
 		return false
 	}
 	revision, ok := l.commit(ctx, txn)
@@ -57,11 +58,13 @@
 		return false
 	}
 	l.noteCommitted(records, txn, revision)
-	signal(l.wake)
+	signal(l.decisionDue)
 	return true
 }
 
-func (l *Leader) transaction(records []scheduler.Record) (kvstore.Txn, error) {
+// progressTxn builds the transaction that writes records, conditional on the term
+// and on each record's revision. The caller holds mu.
+func (l *Leader) progressTxn(records []scheduler.Record) (kvstore.Txn, error) {
 	txn := kvstore.Txn{If: []kvstore.Condition{{Key: ledger.LeaderKey, Revision: l.term.Token}}}
 	for _, r := range records {
 		value, err := ledger.EncodeProgress(r.Progress)
@@ -91,9 +94,9 @@
 	l.committed = make(chan struct{})
 }
 
-// commit tries until the outcome is clear or the term ends.
+// commit retries the transaction until its outcome is clear or the term ends.
 func (l *Leader) commit(ctx context.Context, txn kvstore.Txn) (uint64, bool) {
-	retry := pause.Backoff{First: commitRetry, Most: commitRetryMax}
+	retry := pause.Backoff{First: commitRetryDelay, Most: commitRetryDelayMax}
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, commitTimeout)
 		revision, err := l.Store.Commit(call, txn)
@@ -103,34 +106,35 @@
 		case err == nil:
 			return revision, true
 		case errors.As(err, &conflict):
-			revision, err = settled(conflict, txn)
+			revision, err = resolveConflict(conflict, txn)
 			if err == nil {
 				return revision, true
 			}
-			l.lost("a record could not be committed", err)
+			l.giveUpTerm("a record could not be committed", err)
 			return 0, false
 		}
-		l.Log.Debug("commit failed; trying again", "records", len(txn.Puts), "err", err)
+		l.Log.Debug("commit failed; retrying", "records", len(txn.Puts), "err", err)
 		retry.Wait(ctx)
 	}
 	return 0, false
 }
 
-// settled tells whether a refused transaction had been applied by an earlier
-// try: every key then has the value that was to be written.
-func settled(conflict *kvstore.ConflictError, txn kvstore.Txn) (uint64, error) {
-	now := make(map[string]kvstore.Item, len(conflict.Items))
+// resolveConflict returns the revision of a transaction that failed with a conflict
+// because an earlier try had applied it: every key then has the value to be
+// written. Otherwise it returns an error.
+func resolveConflict(conflict *kvstore.ConflictError, txn kvstore.Txn) (uint64, error) {
+	current := make(map[string]kvstore.Item, len(conflict.Items))
 	for _, item := range conflict.Items {
-		now[item.Key] = item
+		current[item.Key] = item
 	}
-	if leader := now[ledger.LeaderKey]; leader.Revision != txn.If[0].Revision {
+	if leader := current[ledger.LeaderKey]; leader.Revision != txn.If[0].Revision {
 		return 0, errors.Wrap(kvstore.ErrHeld, "another host leads")
 	}
 	var revision uint64
 	for _, p := range txn.Puts {
-		item, conditional := now[p.Key]
+		item, conditional := current[p.Key]
 		if !conditional {
-			continue // the state, written together with its record
+			continue // the state that callers see, written together with its record
 		}
 		if !bytes.Equal(item.Value, p.Value) {
 			return 0, errors.Wrapf(errForeignWrite, "key %s at revision %d", p.Key, item.Revision)
--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -236,18 +236,18 @@
 func (h *Host) followReplica(ctx context.Context) {
 	f := kvstore.Follower{
 		Store:  h.Store,
-		Prefix: ledger.Prefix,
+		Prefix: ledger.ReplicaPrefix,
 		Wait:   replicaWatchWait,
 		Pause:  h.watchPause,
 		Reset:  h.Replica.Reset,
 		Apply:  h.Replica.Apply,
 		Lost: func(err error) {
 			h.setStoreLost(steady.Now())
-			h.Log.Warn("store lost", "prefix", ledger.Prefix, "err", err)
+			h.Log.Warn("store lost", "prefix", ledger.ReplicaPrefix, "err", err)
 		},
 		Regained: func() {
 			h.setStoreLost(0)
-			h.Log.Info("store regained", "prefix", ledger.Prefix)
+			h.Log.Info("store regained", "prefix", ledger.ReplicaPrefix)
 		},
 	}
 	f.Run(ctx)
@@ -274,7 +274,7 @@
 		Replica: h.Replica,
 		Host:    h.Name,
 		Log:     h.Log,
-		Delay:   h.electionDelay,
+		AcquireDelay:   h.electionDelay,
 		Lead:    func(ctx context.Context, t *dispatch.Term) { dispatch.Lead(ctx, h.Dispatch(), t) },
 	}
 }
--- a/batch/intake/intake.go
+++ b/batch/intake/intake.go
@@ -132,7 +132,7 @@
 	in.Log.Info("submit", "job", job.ID, "organisation", job.Organisation, "queue", job.Queue,
 		"priority", job.Priority, "took", in.Now().Sub(began), "outcome", outcomeText(err))
 	if err == nil {
-		in.Replica.Accept(&job)
+		in.Replica.AddJob(&job)
 	}
 	return err
 }
@@ -306,7 +306,7 @@
 	in.recordCall("cancel", err, in.Now().Sub(began))
 	in.Log.Info("cancel", "job", target.JobID, "organisation", target.Organisation, "outcome", outcomeText(err))
 	if err == nil {
-		in.Replica.Cancel(target.JobID)
+		in.Replica.MarkCancelled(target.JobID)
 	}
 	return err
 }
@@ -321,5 +321,5 @@
 			return n, nil
 		}
 	}
-	return in.Replica.Pending(target.Queue.Name), nil
+	return in.Replica.PendingJobs(target.Queue.Name), nil
 }
--- a/batch/scheduler/advice.go
+++ b/batch/scheduler/advice.go
@@ -35,8 +35,8 @@
 	Occurrence int
 	Step       int
 	Runners    []string
-	Advice     batch.Advice // how long the adviser takes
-	born       []int64      // incarnations of the runners
+	Advice     batch.AdviceTimes // how long the adviser takes
+	born       []int64           // incarnations of the runners
 }
 
 // permit is the adviser's answer about one runner for one step.
@@ -192,11 +192,11 @@
 
 // questionSize returns how many runners a question names: as many as take the
 // adviser as long as the question itself.
-func questionSize(a *batch.Advice) int {
-	if a.Each <= 0 {
+func questionSize(a *batch.AdviceTimes) int {
+	if a.TimePerRunner <= 0 {
 		return questionSizeMax
 	}
-	return min(max(questionSizeMin, int(a.Decide/a.Each)), questionSizeMax)
+	return min(max(questionSizeMin, int(a.DecisionTime/a.TimePerRunner)), questionSizeMax)
 }
 
 // obtainableResources returns what the unit could get on r, including what
--- a/batch/scheduler/preempt.go
+++ b/batch/scheduler/preempt.go
@@ -168,7 +168,7 @@
 	need := int64(0)
 	for _, o := range c.active {
 		if o.spec.Priority == 0 && o.spec.Organisation == j.spec.Organisation {
-			need += o.spec.Accelerators()
+			need += o.spec.MaxAccelerators()
 		}
 	}
 	for _, o := range c.config.Organisations {
@@ -185,7 +185,7 @@
 	})
 	var sum batch.Resources
 	for range tasks {
-		sum = sum.Plus(u.spec().Holds())
+		sum = sum.Plus(u.spec().ReservedResources())
 	}
 	r.nominations = append(r.nominations, nomination{unit: u, request: sum, until: now.Add(nominationTTL)})
 }
@@ -254,7 +254,7 @@
 	var sum batch.Resources
 	for _, run := range r.runs {
 		if run.unit.yieldsTo(u) || run.phase == stopping {
-			sum = sum.Plus(run.unit.spec().Holds())
+			sum = sum.Plus(run.unit.spec().ReservedResources())
 		}
 	}
 	return sum
@@ -283,7 +283,7 @@
 	for _, run := range r.runs {
 		switch {
 		case run.phase == stopping:
-			free = free.Plus(run.unit.spec().Holds())
+			free = free.Plus(run.unit.spec().ReservedResources())
 		case run.unit.yieldsTo(u) && !slices.Contains(candidates, run.unit):
 			candidates = append(candidates, run.unit)
 		}
@@ -312,7 +312,7 @@
 	var sum batch.Resources
 	for _, run := range u.runs {
 		if run.runner == r {
-			sum = sum.Plus(u.spec().Holds())
+			sum = sum.Plus(u.spec().ReservedResources())
 		}
 	}
 	return sum
--- a/batch/scheduler/report.go
+++ b/batch/scheduler/report.go
@@ -69,11 +69,11 @@
 		c.handleLostRunEnd(j, u, e, now)
 		return
 	}
-	c.notifyObserver("end", ended, string(e.How))
+	c.notifyObserver("end", ended, string(e.Reason))
 	u.keepCheckpoint(e.Checkpoint, ended)
 	c.detach(ended)
 	c.markChanged(j)
-	switch e.How {
+	switch e.Reason {
 	case batch.EndDone:
 		c.speeds.learnEnd(ended, now)
 		r.failures = 0
@@ -89,7 +89,7 @@
 // handleLostRunEnd handles the end of a run that was taken as lost because its
 // lease had run out. If it completed the task, a later attempt is not needed.
 func (c *Core) handleLostRunEnd(j *job, u *unit, e batch.EndedTask, now steady.Time) {
-	if e.How != batch.EndDone || u.done || u.spec().LongRunning {
+	if e.Reason != batch.EndDone || u.done || u.spec().LongRunning {
 		return
 	}
 	c.markChanged(j)
