--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -120,7 +120,7 @@
 			workers[k].Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{t}, Hold: time.Hour})
 			workers[k].Start(workerapi.StartRequest{Gang: g, Tasks: []int{t}, Size: gangTasks, Lease: time.Hour})
 		}
-		rec.Enter(job.Running, "", time.Now())
+		rec.SetState(job.Running, "", time.Now())
 		d.put(b, rec)
 	}
 }
@@ -130,7 +130,7 @@
 		ID:       job.ID{Organisation: fmt.Sprint("organisation-", i%4), Service: fmt.Sprint("service-", i%90), Name: fmt.Sprintf("job-2026-12-%06d", i)},
 		Template: "train", DeclaredRun: time.Hour,
 		Shape: job.Shape{Tasks: tasks, AcceleratorsPerTask: 1, Adjacency: job.SameRack}}}
-	rec.Enter(job.Queued, "", time.Now())
+	rec.SetState(job.Queued, "", time.Now())
 	return rec
 }
 
--- a/gang/records.go
+++ b/gang/records.go
@@ -70,13 +70,13 @@
 			return old, errSuperseded
 		}
 		next.Started = now
-		next.Enter(job.Running, a.Reason, now)
+		next.SetState(job.Running, a.Reason, now)
 	case a.State == job.Stopping:
-		next.Enter(job.Stopping, a.Reason, now)
+		next.SetState(job.Stopping, a.Reason, now)
 	case a.State == job.Queued:
 		requeue(&next, a, limit, now)
 	default:
-		next.Enter(a.State, a.Reason, now)
+		next.SetState(a.State, a.Reason, now)
 	}
 	return next, nil
 }
@@ -92,7 +92,7 @@
 	next.Generation, next.Workers = rec.Generation, rec.Workers
 	next.Guaranteed, next.Term = rec.Guaranteed, rec.Term
 	next.Started = time.Time{}
-	next.Enter(job.Placed, "", now)
+	next.SetState(job.Placed, "", now)
 	return next, nil
 }
 
@@ -109,13 +109,13 @@
 	next.Started = time.Time{}
 	switch {
 	case next.CancelBy != "":
-		next.Enter(job.Cancelled, "cancelled by "+next.CancelBy, now)
+		next.SetState(job.Cancelled, "cancelled by "+next.CancelBy, now)
 	case a.Fatal != "":
-		next.Enter(job.Failed, a.Fatal, now)
+		next.SetState(job.Failed, a.Fatal, now)
 	case a.Failed && next.Failures >= limit:
-		next.Enter(job.Failed, "it failed too often; last: "+a.Reason, now)
+		next.SetState(job.Failed, "it failed too often; last: "+a.Reason, now)
 	default:
-		next.Enter(job.Queued, a.Reason, now)
+		next.SetState(job.Queued, a.Reason, now)
 	}
 }
 
@@ -133,7 +133,7 @@
 			if !found || old.State != job.Queued {
 				return old, found, nil
 			}
-			old.Enter(state, reason, now)
+			old.SetState(state, reason, now)
 			return old, true, nil
 		})
 		if err != nil {
--- a/gang/world_test.go
+++ b/gang/world_test.go
@@ -121,7 +121,7 @@
 	for i := range worldJobs {
 		rec := job.Record{Spec: job.Spec{ID: job.ID{Organisation: "o", Service: "s", Name: fmt.Sprint(i)},
 			Shape: job.Shape{Tasks: 1 + i, AcceleratorsPerTask: 1}, Checkpoint: i%2 == 0}}
-		rec.Enter(job.Queued, "", w.now)
+		rec.SetState(job.Queued, "", w.now)
 		w.ledger[rec.Spec.ID.String()] = rec
 	}
 	return w
--- a/intake/http.go
+++ b/intake/http.go
@@ -76,7 +76,7 @@
 
 func (in *Intake) serveList(r *http.Request, who auth.Identity) (any, error) {
 	state := job.State(r.URL.Query().Get("state"))
-	if state != "" && !state.Known() {
+	if state != "" && !state.Valid() {
 		return nil, apierr.Invalid("state", "unknown state "+strconv.Quote(string(state)), "leave it out, or use a state such as queued or running")
 	}
 	jobs, err := in.List(r.Context(), who, state)
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -297,7 +297,7 @@
 	}
 	placed := spec("runs").ID.String()
 	_, err := ledgers.Jobs("fd1").Update(ctx, placed, func(old job.Record, _ bool) (job.Record, bool, error) {
-		old.Enter(job.Placed, "", s.clock())
+		old.SetState(job.Placed, "", s.clock())
 		return old, true, nil
 	})
 	must.NoError(t, err)
--- a/intake/keep.go
+++ b/intake/keep.go
@@ -179,7 +179,7 @@
 			return old, found, nil
 		}
 		old.MovedTo, old.Arrived = to, false
-		old.Enter(job.Moved, reason, now)
+		old.SetState(job.Moved, reason, now)
 		old.Ended = now
 		return old, true, nil
 	})
--- a/intake/ledger/size_test.go
+++ b/intake/ledger/size_test.go
@@ -25,7 +25,7 @@
 		}
 		for _, state := range []job.State{job.Queued, job.Placed, job.Running, job.Finished} {
 			now = now.Add(137*time.Millisecond + time.Duration(i)*time.Microsecond)
-			rec.Enter(state, "", now)
+			rec.SetState(state, "", now)
 		}
 		p.Entries[rec.Spec.ID.String()] = rec
 	}
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -55,7 +55,7 @@
 	now := in.o.Now()
 	rec.Submitted = now
 	rec.TraceParent = telemetry.TraceParent(ctx)
-	rec.Enter(job.Queued, "", now)
+	rec.SetState(job.Queued, "", now)
 	return in.create(ctx, claim.FailureDomain, rec)
 }
 
@@ -121,7 +121,7 @@
 	rec.Moves++
 	rec.Ended = time.Time{}
 	rec.Workers = nil
-	rec.Enter(job.Queued, "moved from another failure domain", now)
+	rec.SetState(job.Queued, "moved from another failure domain", now)
 	return rec
 }
 
@@ -200,7 +200,7 @@
 		}
 		old.CancelBy = by
 		if old.State == job.Queued {
-			old.Enter(job.Cancelled, "cancelled by "+by, now)
+			old.SetState(job.Cancelled, "cancelled by "+by, now)
 		}
 		return old, true, nil
 	})
--- a/job/job.go
+++ b/job/job.go
@@ -62,8 +62,8 @@
 // Terminal reports whether a job in this state never runs again.
 func (s State) Terminal() bool { return s == Finished || s == Failed || s == Cancelled }
 
-// Known reports whether s is one of the states.
-func (s State) Known() bool {
+// Valid reports whether s is one of the states.
+func (s State) Valid() bool {
 	switch s {
 	case Queued, Placed, Running, Stopping, Finished, Failed, Cancelled, Moved:
 		return true
@@ -118,9 +118,9 @@
 	History      []Transition `json:"history,omitempty"`     // at most MaxTransitions, oldest first
 }
 
-// Enter moves the record to a state and notes it in the history. It never
+// SetState moves the record to a state and notes it in the history. It never
 // writes to the old history's array, which other copies may share.
-func (r *Record) Enter(state State, reason string, now time.Time) {
+func (r *Record) SetState(state State, reason string, now time.Time) {
 	r.State = state
 	r.Reason = reason
 	kept := r.History
