--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -56,15 +56,15 @@
 // Unused reports whether no claim uses the slot.
 func (b *Assignment) Unused(slot int) bool { return b.holder[slot] == unused }
 
-// Find returns the slot that would no longer be unused if the claim were
+// FindSlot returns the slot that would no longer be unused if the claim were
 // added, without adding it. Earlier claims keep a slot, perhaps another one.
-func (b *Assignment) Find(c Claim) (slot int, ok bool) {
+func (b *Assignment) FindSlot(c Claim) (slot int, ok bool) {
 	return b.walk(c, nil)
 }
 
-// Add adds a claim and returns the slot that is no longer unused, if its
+// AddClaim adds a claim and returns the slot that is no longer unused, if its
 // organisation has one for it.
-func (b *Assignment) Add(c Claim) (slot int, ok bool) {
+func (b *Assignment) AddClaim(c Claim) (slot int, ok bool) {
 	b.claims = append(b.claims, c)
 	slot, ok = b.walk(c, b.assign)
 	if !ok {
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -18,16 +18,16 @@
 	missed []int         // slots without accelerators
 }
 
-// Place returns the worker of each task of a slot, nil if it has none.
-func (b *Backing) Place(slot int) []int { return b.places[slot] }
+// Placement returns the worker of each task of a slot, nil if it has none.
+func (b *Backing) Placement(slot int) []int { return b.places[slot] }
 
-// Missing returns the slots that have no accelerators.
-func (b *Backing) Missing() []int { return b.missed }
+// UnbackedSlots returns the slots that have no accelerators.
+func (b *Backing) UnbackedSlots() []int { return b.missed }
 
-// Back makes a backing plan for the given slots of an assignment. The capacity is what
+// PlanBacking makes a backing plan for the given slots of an assignment. The capacity is what
 // non-reclaimable work leaves; it is not changed. When not all slots can be
 // backed, the plan backs as many as the best order found does.
-func (b *Assignment) Back(k *topology.Capacity, slots []int) *Backing {
+func (b *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
 	best := b.greedy(k, slots, hardestFirst)
 	for _, order := range []slotOrder{largestFirst, nearestFirst} {
 		if len(best.missed) == 0 {
@@ -102,7 +102,7 @@
 			p.missed = append(p.missed, s)
 			continue
 		}
-		k.TakeAll(place, shape.AcceleratorsPerTask)
+		k.AllocateAll(place, shape.AcceleratorsPerTask)
 		p.places[s] = place
 	}
 	return p
@@ -152,8 +152,8 @@
 	if s.shapes[i].Adjacency == job.SameFailureDomain {
 		return s.task(i, 0, s.k.Len())
 	}
-	for r := range s.k.Racks() {
-		ws := s.k.Rack(r)
+	for r := range s.k.RackCount() {
+		ws := s.k.RackWorkers(r)
 		if s.task(i, ws[0], ws[len(ws)-1]+1) {
 			return true
 		}
@@ -175,13 +175,13 @@
 		if s.steps--; s.steps < 0 {
 			return false
 		}
-		s.k.Take(w, shape.AcceleratorsPerTask)
+		s.k.Allocate(w, shape.AcceleratorsPerTask)
 		s.places[i] = append(s.places[i], w)
 		if s.task(i, w, end) {
 			return true
 		}
 		s.places[i] = s.places[i][:len(s.places[i])-1]
-		s.k.GiveAll([]int{w}, shape.AcceleratorsPerTask)
+		s.k.ReleaseAll([]int{w}, shape.AcceleratorsPerTask)
 	}
 	return false
 }
--- a/guarantee/guarantee_test.go
+++ b/guarantee/guarantee_test.go
@@ -54,9 +54,9 @@
 			gs = append(gs, Guarantee{"a", shape(1+r.IntN(3), 1+r.IntN(3), adjacencies[r.IntN(3)]), 1})
 		}
 		b := NewAssignment(gs)
-		p := b.Back(k, b.UnusedSlots(-1))
+		p := b.PlanBacking(k, b.UnusedSlots(-1))
 		want := packs(k.Clone(), b.Slots())
-		must.Eq(t, want, len(p.Missing()) == 0, must.Sprintf("%+v", gs))
+		must.Eq(t, want, len(p.UnbackedSlots()) == 0, must.Sprintf("%+v", gs))
 		if want {
 			backed++
 			checkPlaces(t, k.Clone(), b, p)
@@ -67,11 +67,11 @@
 
 func checkPlaces(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
 	for i, s := range b.Slots() {
-		place := p.Place(i)
+		place := p.Placement(i)
 		must.Len(t, s.Shape.Tasks, place)
 		for _, w := range place {
 			must.GreaterEq(t, s.Shape.AcceleratorsPerTask, k.Free(w))
-			k.Take(w, s.Shape.AcceleratorsPerTask)
+			k.Allocate(w, s.Shape.AcceleratorsPerTask)
 			must.True(t, near(k, s.Shape.Adjacency, w, place[0]))
 		}
 	}
@@ -95,9 +95,9 @@
 			if k.Free(w) < s.AcceleratorsPerTask || len(chosen) > 0 && !near(k, s.Adjacency, w, chosen[0]) {
 				continue
 			}
-			k.Take(w, s.AcceleratorsPerTask)
+			k.Allocate(w, s.AcceleratorsPerTask)
 			ok := place(append(chosen, w))
-			k.GiveAll([]int{w}, s.AcceleratorsPerTask)
+			k.ReleaseAll([]int{w}, s.AcceleratorsPerTask)
 			if ok {
 				return true
 			}
@@ -112,13 +112,13 @@
 func TestAssignmentMovesEarlierClaims(t *testing.T) {
 	small, large := shape(1, 4, job.SameWorker), shape(2, 3, job.SameFailureDomain)
 	b := NewAssignment([]Guarantee{{"a", small, 1}, {"a", large, 1}})
-	_, ok := b.Add(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
+	_, ok := b.AddClaim(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
 	must.True(t, ok)
-	_, ok = b.Add(Claim{"a", small, false}) // fits only the smaller
+	_, ok = b.AddClaim(Claim{"a", small, false}) // fits only the smaller
 	must.True(t, ok)
-	_, ok = b.Find(Claim{"a", small, true})
+	_, ok = b.FindSlot(Claim{"a", small, true})
 	must.False(t, ok)
-	_, ok = b.Find(Claim{"b", small, true})
+	_, ok = b.FindSlot(Claim{"b", small, true})
 	must.False(t, ok)
 }
 
@@ -145,14 +145,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			k := capacity(c.size, c.size)
 			for _, b := range c.borrowers {
-				k.TakeAll(b.Workers, b.AcceleratorsPerTask)
+				k.AllocateAll(b.Workers, b.AcceleratorsPerTask)
 			}
 			before := k.TotalFree()
-			choice, ok := NewReclaimer(k.Cluster, c.borrowers).Choose(k, shape(2, 2, job.SameWorker), nil, func(int) bool { return true })
+			choice, ok := NewReclaimer(k.Cluster, c.borrowers).ChooseVictims(k, shape(2, 2, job.SameWorker), nil, func(int) bool { return true })
 			must.True(t, ok)
 			slices.Sort(choice.Victims)
 			must.Eq(t, c.want, choice.Victims)
-			must.Len(t, 2, choice.Place)
+			must.Len(t, 2, choice.Placement)
 			must.Eq(t, before, k.TotalFree())
 		})
 	}
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -15,9 +15,9 @@
 	Cost                float64 // accelerator-seconds lost if it is stopped, weighed for fairness
 }
 
-// GangCost is what stopping one more gang counts for, whatever its size, in
+// FixedStopCost is what stopping one more gang counts for, whatever its size, in
 // accelerator-seconds.
-const GangCost = 600.0
+const FixedStopCost = 600.0
 
 // Reclaimer chooses which borrowers to stop for a waiting gang.
 type Reclaimer struct {
@@ -41,7 +41,7 @@
 // Choice tells whom to stop, and where the waiting gang then goes.
 type Choice struct {
 	Victims []int // borrowers, by position
-	Place   []int // worker of each task
+	Placement   []int // worker of each task
 	Cost    float64
 }
 
@@ -49,7 +49,7 @@
 type request struct {
 	room    *topology.Capacity
 	shape   job.Shape
-	avoid   topology.Avoid
+	avoid   topology.AvoidFunc
 	allowed func(borrower int) bool
 }
 
@@ -59,13 +59,13 @@
 	has     func(w int) bool
 }
 
-// Choose finds the place for a shape whose clearing costs least. Room counts
+// ChooseVictims finds the place for a shape whose clearing costs least. Room counts
 // what is free or becoming free; it is changed during the call and restored.
 // Allowed reports which borrowers may be stopped.
-func (r *Reclaimer) Choose(room *topology.Capacity, s job.Shape, avoid topology.Avoid, allowed func(borrower int) bool) (best Choice, ok bool) {
+func (r *Reclaimer) ChooseVictims(room *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
 	q := request{room: room, shape: normal(s), avoid: avoid, allowed: allowed}
 	for _, g := range regions(room, s.Adjacency) {
-		if room.SlotsIfEmpty(g.workers, q.shape) < q.shape.Tasks {
+		if room.TaskCapacityIfEmpty(g.workers, q.shape) < q.shape.Tasks {
 			continue
 		}
 		victims, enough := r.clear(q, g)
@@ -76,11 +76,11 @@
 		ok = true
 		best = Choice{Victims: victims, Cost: cost}
 		r.give(room, victims)
-		best.Place = room.FitWithin(g.workers, q.shape, avoid)
+		best.Placement = room.FitWithin(g.workers, q.shape, avoid)
 		r.take(room, victims)
 	}
-	if ok && len(best.Place) != s.Tasks {
-		best.Place = slices.Repeat(best.Place, s.Tasks)
+	if ok && len(best.Placement) != s.Tasks {
+		best.Placement = slices.Repeat(best.Placement, s.Tasks)
 	}
 	return best, ok
 }
@@ -94,8 +94,8 @@
 			out = append(out, region{[]int{w}, func(x int) bool { return x == w }})
 		}
 	case job.SameRack:
-		for r := range k.Racks() {
-			out = append(out, region{k.Rack(r), func(x int) bool { return k.RackOf(x) == r }})
+		for r := range k.RackCount() {
+			out = append(out, region{k.RackWorkers(r), func(x int) bool { return k.RackOf(x) == r }})
 		}
 	default:
 		all := make([]int, k.Len())
@@ -111,7 +111,7 @@
 // cheapest per accelerator first, and none that is not needed. Not enough means
 // that stopping all of them does not do.
 func (r *Reclaimer) clear(q request, g region) (victims []int, enough bool) {
-	slots := q.room.Slots(g.workers, q.shape, q.avoid)
+	slots := q.room.TaskCapacity(g.workers, q.shape, q.avoid)
 	if slots >= q.shape.Tasks {
 		return nil, true
 	}
@@ -149,12 +149,12 @@
 	for i := range b.Workers {
 		w := b.Workers[i]
 		if !g.has(w) {
-			q.room.GiveAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+			q.room.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
 			continue
 		}
-		before := q.room.SlotsOn(w, q.shape, q.avoid)
-		q.room.GiveAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
-		gained += q.room.SlotsOn(w, q.shape, q.avoid) - before
+		before := q.room.TaskCapacityOn(w, q.shape, q.avoid)
+		q.room.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+		gained += q.room.TaskCapacityOn(w, q.shape, q.avoid) - before
 	}
 	return gained
 }
@@ -186,7 +186,7 @@
 	}
 	ranked := make([]candidate, len(out))
 	for i, b := range out {
-		ranked[i] = candidate{b, (r.borrowers[b].Cost + GangCost) / float64(held[b])}
+		ranked[i] = candidate{b, (r.borrowers[b].Cost + FixedStopCost) / float64(held[b])}
 	}
 	slices.SortFunc(ranked, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.borrower, b.borrower))
@@ -212,19 +212,19 @@
 func (r *Reclaimer) cost(victims []int) float64 {
 	sum := 0.0
 	for _, v := range victims {
-		sum += r.borrowers[v].Cost + GangCost
+		sum += r.borrowers[v].Cost + FixedStopCost
 	}
 	return sum
 }
 
 func (r *Reclaimer) give(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
-		k.GiveAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
+		k.ReleaseAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
 
 func (r *Reclaimer) take(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
-		k.TakeAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
+		k.AllocateAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
--- a/placement/backfill.go
+++ b/placement/backfill.go
@@ -74,12 +74,12 @@
 	}
 	b.d.start(w, place, false)
 	for _, l := range b.levels[1:] {
-		l.free.TakeAll(place, w.Shape.AcceleratorsPerTask)
+		l.free.AllocateAll(place, w.Shape.AcceleratorsPerTask)
 	}
 }
 
 // fit finds a place beside the first n reservations.
-func (b *backfill) fit(n int, w *Waiting, avoid topology.Avoid) []int {
+func (b *backfill) fit(n int, w *Waiting, avoid topology.AvoidFunc) []int {
 	l := b.levels[n]
 	if l.failed[w.Shape] {
 		return nil
@@ -102,7 +102,7 @@
 }
 
 // block holds a job, and reserves a place for it if there are few reservations.
-func (b *backfill) block(w *Waiting, avoid topology.Avoid) {
+func (b *backfill) block(w *Waiting, avoid topology.AvoidFunc) {
 	if len(b.reservations) >= maxReservations {
 		b.d.hold(w, b.shortage(w.Shape))
 		return
@@ -133,7 +133,7 @@
 
 // reserve finds the earliest time at which the job is expected to fit, and
 // where. The time is the end of the last gang that must end before.
-func (b *backfill) reserve(w *Waiting, avoid topology.Avoid) (reservation, bool) {
+func (b *backfill) reserve(w *Waiting, avoid topology.AvoidFunc) (reservation, bool) {
 	if b.endings == nil {
 		b.endings = b.d.expectedEnds()
 	}
@@ -152,7 +152,7 @@
 func (b *backfill) freeAfter(n int) *topology.Capacity {
 	k := b.levels[len(b.levels)-1].free.Clone()
 	for _, e := range b.endings[:n] {
-		k.GiveAll(b.d.places[e.gang], b.d.v.Running[e.gang].Shape.AcceleratorsPerTask)
+		k.ReleaseAll(b.d.places[e.gang], b.d.v.Running[e.gang].Shape.AcceleratorsPerTask)
 	}
 	return k
 }
@@ -162,7 +162,7 @@
 	b.levels = []*level{{free: b.d.free, failed: map[job.Shape]bool{}}}
 	for i, r := range b.reservations {
 		k := b.levels[i].free.Clone()
-		k.TakeAll(r.place, r.shape.AcceleratorsPerTask)
+		k.AllocateAll(r.place, r.shape.AcceleratorsPerTask)
 		b.levels = append(b.levels, &level{free: k, failed: map[job.Shape]bool{}})
 	}
 }
--- a/placement/baseline_test.go
+++ b/placement/baseline_test.go
@@ -22,7 +22,7 @@
 	for _, g := range v.Running {
 		for _, name := range g.Workers {
 			w, _ := k.Position(name)
-			k.Take(w, g.Shape.AcceleratorsPerTask)
+			k.Allocate(w, g.Shape.AcceleratorsPerTask)
 		}
 	}
 	queue := slices.Clone(v.Waiting)
@@ -32,8 +32,8 @@
 		if place == nil {
 			return p
 		}
-		k.TakeAll(place, w.Shape.AcceleratorsPerTask)
-		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.Names(place)})
+		k.AllocateAll(place, w.Shape.AcceleratorsPerTask)
+		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.WorkerNames(place)})
 	}
 	return p
 }
@@ -41,8 +41,8 @@
 // firstFit takes the first workers in name order.
 func firstFit(k *topology.Capacity, s job.Shape) []int {
 	var regions [][]int
-	for r := range k.Racks() {
-		regions = append(regions, k.Rack(r))
+	for r := range k.RackCount() {
+		regions = append(regions, k.RackWorkers(r))
 	}
 	if s.Adjacency == job.SameFailureDomain {
 		regions = [][]int{slices.Concat(regions...)}
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -82,7 +82,7 @@
 	d.free = d.firm.Clone()
 	d.soon = d.firm.Clone()
 	d.addRunning()
-	d.backing = d.assignment.Back(d.firm, d.assignment.UnusedSlots(noSlot))
+	d.backing = d.assignment.PlanBacking(d.firm, d.assignment.UnusedSlots(noSlot))
 	return d
 }
 
@@ -96,16 +96,16 @@
 		g := &d.v.Running[i]
 		d.places[i] = d.positions(g.Workers)
 		n := g.Shape.AcceleratorsPerTask
-		d.free.TakeAll(d.places[i], n)
+		d.free.AllocateAll(d.places[i], n)
 		if !g.Stopping {
-			d.soon.TakeAll(d.places[i], n)
+			d.soon.AllocateAll(d.places[i], n)
 		}
 		d.use(g.ID.Organisation, g.Team, g.Shape)
 	}
 	for _, i := range d.claimOrder() {
 		g := &d.v.Running[i]
-		if _, ok := d.assignment.Add(claimOf(g.ID, g.Shape, g.Urgent)); ok {
-			d.firm.TakeAll(d.places[i], g.Shape.AcceleratorsPerTask)
+		if _, ok := d.assignment.AddClaim(claimOf(g.ID, g.Shape, g.Urgent)); ok {
+			d.firm.AllocateAll(d.places[i], g.Shape.AcceleratorsPerTask)
 			continue
 		}
 		d.borrowers = append(d.borrowers, i)
@@ -150,15 +150,15 @@
 
 // start puts a start into the plan and takes its accelerators.
 func (d *decision) start(w *Waiting, place []int, guaranteed bool) {
-	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.Names(place), Guaranteed: guaranteed})
+	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.WorkerNames(place), Guaranteed: guaranteed})
 	d.setAside(place, w.Shape)
 	d.use(w.ID.Organisation, w.Team, w.Shape)
 }
 
 // setAside takes accelerators so that no later job of this decision gets them.
 func (d *decision) setAside(place []int, s job.Shape) {
-	d.free.TakeAll(place, s.AcceleratorsPerTask)
-	d.soon.TakeAll(place, s.AcceleratorsPerTask)
+	d.free.AllocateAll(place, s.AcceleratorsPerTask)
+	d.soon.AllocateAll(place, s.AcceleratorsPerTask)
 }
 
 func (d *decision) hold(w *Waiting, reason string) {
@@ -170,7 +170,7 @@
 	for _, b := range borrowers {
 		g := &d.v.Running[d.borrowers[b]]
 		d.plan.Reclaims = append(d.plan.Reclaims, Reclaim{ID: g.ID, For: forJob, Reason: reason})
-		d.soon.GiveAll(d.places[d.borrowers[b]], g.Shape.AcceleratorsPerTask)
+		d.soon.ReleaseAll(d.places[d.borrowers[b]], g.Shape.AcceleratorsPerTask)
 		d.victims[b] = true
 	}
 }
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -6,7 +6,7 @@
 
 // reportDeficits tells which guarantees the present hardware cannot back.
 func (d *decision) reportDeficits() {
-	missing := d.backing.Missing()
+	missing := d.backing.UnbackedSlots()
 	if len(missing) == 0 {
 		return
 	}
@@ -39,10 +39,10 @@
 	slots := d.assignment.UnusedSlots(noSlot)
 	for i := range d.v.Running {
 		if g := &d.v.Running[i]; g.Guaranteed && !g.Stopping {
-			whole.TakeAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
+			whole.AllocateAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
 		}
 	}
-	if workers > 0 && len(d.assignment.Back(whole, slots).Missing()) == 0 {
+	if workers > 0 && len(d.assignment.PlanBacking(whole, slots).UnbackedSlots()) == 0 {
 		return fmt.Sprintf("%d workers with %d accelerators are unavailable; bring them back or lower the guarantees",
 			workers, accelerators)
 	}
--- a/placement/displace.go
+++ b/placement/displace.go
@@ -20,7 +20,7 @@
 // saves it more waiting than it costs them, and returns where the job then goes.
 // An overdue job need not save more than it costs.
 // A gang that finds room elsewhere loses a restart, another also the job's run.
-func (b *backfill) displace(w *Waiting, r reservation, avoid topology.Avoid) (place []int, ok bool) {
+func (b *backfill) displace(w *Waiting, r reservation, avoid topology.AvoidFunc) (place []int, ok bool) {
 	d := b.d
 	saved := r.from.Sub(d.v.Now) - stopGrace
 	if saved < shortestSaved || d.anyStopping() {
@@ -37,7 +37,7 @@
 		return nil, false
 	}
 	d.reclaim(choice.Victims, w.ID, reasonMove)
-	return choice.Place, true
+	return choice.Placement, true
 }
 
 // displaceable reports whether a borrower may make room for a job of the given
@@ -56,15 +56,15 @@
 	k := room.Clone()
 	for _, v := range c.Victims {
 		i := d.borrowers[v]
-		k.GiveAll(d.places[i], d.v.Running[i].Shape.AcceleratorsPerTask)
+		k.ReleaseAll(d.places[i], d.v.Running[i].Shape.AcceleratorsPerTask)
 	}
-	k.TakeAll(c.Place, w.Shape.AcceleratorsPerTask)
+	k.AllocateAll(c.Placement, w.Shape.AcceleratorsPerTask)
 	var sum time.Duration
 	for _, v := range c.Victims {
 		s := d.v.Running[d.borrowers[v]].Shape
 		sum += restartTime
 		if elsewhere := k.Fit(s, nil); elsewhere != nil {
-			k.TakeAll(elsewhere, s.AcceleratorsPerTask)
+			k.AllocateAll(elsewhere, s.AcceleratorsPerTask)
 			continue
 		}
 		sum += run
--- a/placement/guaranteed.go
+++ b/placement/guaranteed.go
@@ -37,7 +37,7 @@
 		c := claimOf(w.ID, w.Shape, w.Urgent)
 		found, ok := known[c]
 		if !ok {
-			_, found = d.assignment.Find(c)
+			_, found = d.assignment.FindSlot(c)
 			known[c] = found
 		}
 		return found
@@ -57,7 +57,7 @@
 
 // serveGuaranteed reports whether the job was started or reclaimed for.
 func (d *decision) serveGuaranteed(w *Waiting) bool {
-	slot, ok := d.assignment.Find(claimOf(w.ID, w.Shape, w.Urgent))
+	slot, ok := d.assignment.FindSlot(claimOf(w.ID, w.Shape, w.Urgent))
 	if !ok || d.overQuota(w) {
 		return false
 	}
@@ -87,11 +87,11 @@
 // claim makes the place firm and the job's slot used. The places that back
 // other slots stay as they are unless the place took some of them.
 func (d *decision) claim(w *Waiting, place []int) {
-	slot, _ := d.assignment.Add(claimOf(w.ID, w.Shape, w.Urgent))
+	slot, _ := d.assignment.AddClaim(claimOf(w.ID, w.Shape, w.Urgent))
 	spare := d.spare(slot)
-	d.firm.TakeAll(place, w.Shape.AcceleratorsPerTask)
+	d.firm.AllocateAll(place, w.Shape.AcceleratorsPerTask)
 	if !holds(spare, place, w.Shape) {
-		d.backing = d.assignment.Back(d.firm, d.assignment.UnusedSlots(noSlot))
+		d.backing = d.assignment.PlanBacking(d.firm, d.assignment.UnusedSlots(noSlot))
 	}
 }
 
@@ -113,7 +113,7 @@
 	k := d.firm.Clone()
 	for s, unused := range d.assignment.Slots() {
 		if s != slot && d.assignment.Unused(s) {
-			k.TakeAll(d.backing.Place(s), unused.Shape.AcceleratorsPerTask)
+			k.AllocateAll(d.backing.Placement(s), unused.Shape.AcceleratorsPerTask)
 		}
 	}
 	return k
@@ -124,23 +124,23 @@
 func (d *decision) leavesBacking(w *Waiting, slot int, place []int) bool {
 	others := d.assignment.UnusedSlots(slot)
 	before := 0
-	if len(d.backing.Missing()) > 0 {
-		before = len(d.assignment.Back(d.firm, others).Missing())
+	if len(d.backing.UnbackedSlots()) > 0 {
+		before = len(d.assignment.PlanBacking(d.firm, others).UnbackedSlots())
 	}
 	k := d.firm.Clone()
-	k.TakeAll(place, w.Shape.AcceleratorsPerTask)
-	return len(d.assignment.Back(k, others).Missing()) <= before
+	k.AllocateAll(place, w.Shape.AcceleratorsPerTask)
+	return len(d.assignment.PlanBacking(k, others).UnbackedSlots()) <= before
 }
 
 // reclaimWithin sets accelerators aside for a guaranteed job and asks the
 // borrowers on them to stop. What is stopping already is used first.
-func (d *decision) reclaimWithin(w *Waiting, spare *topology.Capacity, avoid topology.Avoid) bool {
+func (d *decision) reclaimWithin(w *Waiting, spare *topology.Capacity, avoid topology.AvoidFunc) bool {
 	room := d.soon.LimitedTo(spare)
 	choice, ok := d.choose(room, w, avoid, func(int) bool { return true })
 	if !ok {
 		return false
 	}
-	d.claim(w, choice.Place)
+	d.claim(w, choice.Placement)
 	d.commit(w, choice, fmt.Sprintf("its accelerators are guaranteed to organisation %s", w.ID.Organisation))
 	d.hold(w, reasonReclaiming)
 	return true
@@ -149,18 +149,18 @@
 // commit reclaims what a choice names and sets its place aside.
 func (d *decision) commit(w *Waiting, c guarantee.Choice, reason string) {
 	d.reclaim(c.Victims, w.ID, reason)
-	d.setAside(c.Place, w.Shape)
+	d.setAside(c.Placement, w.Shape)
 	d.use(w.ID.Organisation, w.Team, w.Shape)
 }
 
 // choose picks the borrowers to stop for a job among those that are allowed
 // and not yet asked to.
-func (d *decision) choose(room *topology.Capacity, w *Waiting, avoid topology.Avoid, allowed func(borrower int) bool) (guarantee.Choice, bool) {
+func (d *decision) choose(room *topology.Capacity, w *Waiting, avoid topology.AvoidFunc, allowed func(borrower int) bool) (guarantee.Choice, bool) {
 	if d.reclaimer == nil {
 		d.reclaimer = d.newReclaimer()
 		d.victims = make([]bool, len(d.borrowers))
 	}
-	return d.reclaimer.Choose(room, w.Shape, avoid, func(b int) bool { return !d.victims[b] && allowed(b) })
+	return d.reclaimer.ChooseVictims(room, w.Shape, avoid, func(b int) bool { return !d.victims[b] && allowed(b) })
 }
 
 func (d *decision) newReclaimer() *guarantee.Reclaimer {
@@ -174,7 +174,7 @@
 			Cost:                d.lost(g) / (1 + excessWeight*excess[g.ID.Organisation]),
 		}
 		if g.Urgent {
-			bs[b].Cost = urgentWeight * (bs[b].Cost + guarantee.GangCost)
+			bs[b].Cost = urgentWeight * (bs[b].Cost + guarantee.FixedStopCost)
 		}
 	}
 	return guarantee.NewReclaimer(d.cluster, bs)
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -23,7 +23,7 @@
 		if place == nil {
 			continue
 		}
-		d.left.TakeAll(place, w.Shape.AcceleratorsPerTask)
+		d.left.AllocateAll(place, w.Shape.AcceleratorsPerTask)
 		d.use(w.ID.Organisation, w.Team, w.Shape)
 		out = append(out, w.ID)
 	}
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -147,7 +147,7 @@
 
 // avoid reports the workers on which a job has failed. They are used all the
 // same when no other workers could ever hold it.
-func (d *decision) avoid(w *Waiting) topology.Avoid {
+func (d *decision) avoid(w *Waiting) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
 	}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -363,7 +363,7 @@
 	for _, j := range d.running {
 		for _, name := range j.gang.Workers {
 			w, _ := k.Position(name)
-			k.Take(w, j.Shape.AcceleratorsPerTask)
+			k.Allocate(w, j.Shape.AcceleratorsPerTask)
 		}
 	}
 	free := k.TotalFree()
@@ -377,7 +377,7 @@
 		}
 	}
 	for place := k.Fit(largest, nil); place != nil; place = k.Fit(largest, nil) {
-		k.TakeAll(place, largest.AcceleratorsPerTask)
+		k.AllocateAll(place, largest.AcceleratorsPerTask)
 	}
 	return float64(k.TotalFree()) / float64(free), true
 }
--- a/placement/topology/capacity.go
+++ b/placement/topology/capacity.go
@@ -20,12 +20,12 @@
 	k := &Capacity{
 		Cluster:  c,
 		free:     make([]int, c.Len()),
-		rackFree: make([]int, c.Racks()),
+		rackFree: make([]int, c.RackCount()),
 		tasks:    make([]int, c.Len()),
 	}
 	for w, worker := range c.workers {
 		if !worker.Unavailable {
-			k.Give(w, worker.Accelerators)
+			k.AddFree(w, worker.Accelerators)
 		}
 	}
 	return k
@@ -72,9 +72,9 @@
 // TotalFree returns the free accelerators of all workers.
 func (k *Capacity) TotalFree() int { return k.total }
 
-// Take marks n accelerators of worker w as used. What an unavailable worker
+// Allocate marks n accelerators of worker w as used. What an unavailable worker
 // runs does not count.
-func (k *Capacity) Take(w, n int) {
+func (k *Capacity) Allocate(w, n int) {
 	if k.workers[w].Unavailable {
 		return
 	}
@@ -82,18 +82,18 @@
 	k.tasks[w]++
 }
 
-// Give marks n accelerators of worker w as free.
-func (k *Capacity) Give(w, n int) { k.change(w, n) }
+// AddFree marks n accelerators of worker w as free.
+func (k *Capacity) AddFree(w, n int) { k.change(w, n) }
 
-// TakeAll takes n accelerators on each of the workers, once for each mention.
-func (k *Capacity) TakeAll(workers []int, n int) {
+// AllocateAll takes n accelerators on each of the workers, once for each mention.
+func (k *Capacity) AllocateAll(workers []int, n int) {
 	for _, w := range workers {
-		k.Take(w, n)
+		k.Allocate(w, n)
 	}
 }
 
-// GiveAll undoes TakeAll.
-func (k *Capacity) GiveAll(workers []int, n int) {
+// ReleaseAll undoes TakeAll.
+func (k *Capacity) ReleaseAll(workers []int, n int) {
 	for _, w := range workers {
 		if k.workers[w].Unavailable {
 			continue
--- a/placement/topology/cluster.go
+++ b/placement/topology/cluster.go
@@ -65,11 +65,11 @@
 // Len returns the number of workers.
 func (c *Cluster) Len() int { return len(c.workers) }
 
-// Racks returns the number of racks.
-func (c *Cluster) Racks() int { return len(c.racks) }
+// RackCount returns the number of racks.
+func (c *Cluster) RackCount() int { return len(c.racks) }
 
-// Rack returns the positions of a rack's workers. Callers must not change it.
-func (c *Cluster) Rack(r int) []int { return c.racks[r] }
+// RackWorkers returns the positions of a rack's workers. Callers must not change it.
+func (c *Cluster) RackWorkers(r int) []int { return c.racks[r] }
 
 // RackOf returns the rack of the worker at position w.
 func (c *Cluster) RackOf(w int) int { return c.rackOf[w] }
@@ -83,9 +83,9 @@
 	return w, ok
 }
 
-// SlotsIfEmpty returns how many of a shape's tasks the given workers could take
+// TaskCapacityIfEmpty returns how many of a shape's tasks the given workers could take
 // if nothing ran on them.
-func (c *Cluster) SlotsIfEmpty(workers []int, s job.Shape) int {
+func (c *Cluster) TaskCapacityIfEmpty(workers []int, s job.Shape) int {
 	if s.AcceleratorsPerTask == 0 {
 		return s.Tasks
 	}
@@ -96,8 +96,8 @@
 	return n
 }
 
-// Names returns the names of the workers at the given positions.
-func (c *Cluster) Names(positions []int) []string {
+// WorkerNames returns the names of the workers at the given positions.
+func (c *Cluster) WorkerNames(positions []int) []string {
 	names := make([]string, len(positions))
 	for i, w := range positions {
 		names[i] = c.workers[w].Name
--- a/placement/topology/fit.go
+++ b/placement/topology/fit.go
@@ -6,13 +6,13 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// Avoid reports workers that a gang must not use; nil avoids none.
-type Avoid func(w int) bool
+// AvoidFunc reports workers that a gang must not use; nil avoids none.
+type AvoidFunc func(w int) bool
 
 // Fit finds adjacent free accelerators for a shape and returns the worker of
 // each task, or nil. It takes the tightest place, so that whole workers and
 // whole racks stay whole.
-func (k *Capacity) Fit(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) Fit(s job.Shape, avoid AvoidFunc) []int {
 	if s.Tasks <= 0 || s.Accelerators() > k.total {
 		return nil
 	}
@@ -28,14 +28,14 @@
 
 // FitWithin places a shape's tasks on the given workers, whatever its
 // adjacency, or returns nil if they lack the room.
-func (k *Capacity) FitWithin(workers []int, s job.Shape, avoid Avoid) []int {
-	if k.Slots(workers, s, avoid) < s.Tasks {
+func (k *Capacity) FitWithin(workers []int, s job.Shape, avoid AvoidFunc) []int {
+	if k.TaskCapacity(workers, s, avoid) < s.Tasks {
 		return nil
 	}
 	return k.fill(workers, s, avoid)
 }
 
-func (k *Capacity) fitWorker(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitWorker(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
 		if k.rackFree[r] < s.Accelerators() {
@@ -65,13 +65,13 @@
 	return k.tasks[a] < k.tasks[b]
 }
 
-func (k *Capacity) fitRack(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitRack(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
 		if k.rackFree[r] < s.Accelerators() || best >= 0 && k.rackFree[r] >= k.rackFree[best] {
 			continue
 		}
-		if k.Slots(rack, s, avoid) >= s.Tasks {
+		if k.TaskCapacity(rack, s, avoid) >= s.Tasks {
 			best = r
 		}
 	}
@@ -81,11 +81,11 @@
 	return k.fill(k.racks[best], s, avoid)
 }
 
-func (k *Capacity) fitAnywhere(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitAnywhere(s job.Shape, avoid AvoidFunc) []int {
 	racks := make([]int, 0, len(k.racks))
 	slots := 0
 	for r, rack := range k.racks {
-		if n := k.Slots(rack, s, avoid); n > 0 {
+		if n := k.TaskCapacity(rack, s, avoid); n > 0 {
 			racks = append(racks, r)
 			slots += n
 		}
@@ -97,7 +97,7 @@
 	left := s
 	var out []int
 	for _, r := range racks {
-		left.Tasks = min(s.Tasks-len(out), k.Slots(k.racks[r], s, avoid))
+		left.Tasks = min(s.Tasks-len(out), k.TaskCapacity(k.racks[r], s, avoid))
 		out = append(out, k.fill(k.racks[r], left, avoid)...)
 		if len(out) == s.Tasks {
 			break
@@ -107,10 +107,10 @@
 }
 
 // fill places a shape's tasks on workers that are known to have room.
-func (k *Capacity) fill(workers []int, s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fill(workers []int, s job.Shape, avoid AvoidFunc) []int {
 	order := k.scratch[:0]
 	for _, w := range workers {
-		if k.SlotsOn(w, s, avoid) > 0 {
+		if k.TaskCapacityOn(w, s, avoid) > 0 {
 			order = append(order, w)
 		}
 	}
@@ -121,7 +121,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return k.Free(a) - k.Free(b) })
 	out := make([]int, 0, s.Tasks)
 	for _, w := range order {
-		n := min(s.Tasks-len(out), k.SlotsOn(w, s, avoid))
+		n := min(s.Tasks-len(out), k.TaskCapacityOn(w, s, avoid))
 		for range n {
 			out = append(out, w)
 		}
@@ -139,17 +139,17 @@
 	return out
 }
 
-// Slots returns how many of a shape's tasks the given workers can take.
-func (k *Capacity) Slots(workers []int, s job.Shape, avoid Avoid) int {
+// TaskCapacity returns how many of a shape's tasks the given workers can take.
+func (k *Capacity) TaskCapacity(workers []int, s job.Shape, avoid AvoidFunc) int {
 	n := 0
 	for _, w := range workers {
-		n += k.SlotsOn(w, s, avoid)
+		n += k.TaskCapacityOn(w, s, avoid)
 	}
 	return n
 }
 
-// SlotsOn returns how many of a shape's tasks a worker can take.
-func (k *Capacity) SlotsOn(w int, s job.Shape, avoid Avoid) int {
+// TaskCapacityOn returns how many of a shape's tasks a worker can take.
+func (k *Capacity) TaskCapacityOn(w int, s job.Shape, avoid AvoidFunc) int {
 	if !k.usable(w, avoid) {
 		return 0
 	}
@@ -159,6 +159,6 @@
 	return k.Free(w) / s.AcceleratorsPerTask
 }
 
-func (k *Capacity) usable(w int, avoid Avoid) bool {
+func (k *Capacity) usable(w int, avoid AvoidFunc) bool {
 	return !k.workers[w].Unavailable && (avoid == nil || !avoid(w))
 }
