--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -183,7 +183,7 @@
 		return
 	}
 	plan := s.o.Decide(s.view(now, records, snap))
-	s.wakeAt = earlier(plan.Wake, s.quarantine.Next(now))
+	s.wakeAt = earlier(plan.DecideAgainAt, s.quarantine.NextEnd(now))
 	s.setHolds(records, append(plan.Holds, s.retryHolds(now, records)...), "waiting for the next decision")
 	s.setDeficits(plan.Deficits)
 	for _, r := range plan.Reclaims {
--- a/gang/learned.go
+++ b/gang/learned.go
@@ -39,7 +39,7 @@
 	t.ended = true
 	switch {
 	case r.State == job.Finished:
-		s.quarantine.Succeeded(t.run.Workers, spec.ID, spec.Template)
+		s.quarantine.RecordSuccess(t.run.Workers, spec.ID, spec.Template)
 		if !t.record.Started.IsZero() {
 			s.estimates.Observe(spec.ID.Service, spec.Template, spec.DeclaredRun, now.Sub(t.record.Started))
 			s.learnt.changed = true
@@ -53,7 +53,7 @@
 			s.delayRetry(t.run.Gang.Job, now)
 		}
 	default:
-		s.quarantine.Forget(spec.ID)
+		s.quarantine.ForgetJob(spec.ID)
 	}
 }
 
@@ -63,9 +63,9 @@
 	fleet := len(s.o.Membership.View().Workers(s.o.FailureDomain))
 	spec := t.record.Spec
 	for _, worker := range suspects {
-		if fatal, reason := s.quarantine.Failed(worker, spec.ID, spec.Template, fleet, now); fatal {
+		if fatal, reason := s.quarantine.RecordFailure(worker, spec.ID, spec.Template, fleet, now); fatal {
 			t.fatal = reason
-			s.quarantine.Forget(spec.ID)
+			s.quarantine.ForgetJob(spec.ID)
 			return
 		}
 	}
--- a/gang/takes.go
+++ b/gang/takes.go
@@ -40,9 +40,9 @@
 		return
 	}
 	snap, _ := s.o.Config.Current()
-	offered := make([]placement.Waiting, 0, len(o.records))
+	offered := make([]placement.WaitingJob, 0, len(o.records))
 	for _, rec := range o.records {
 		offered = append(offered, waiting(rec))
 	}
-	o.taken <- placement.Pull(s.view(now, own, snap), offered)
+	o.taken <- placement.PullableJobs(s.view(now, own, snap), offered)
 }
--- a/gang/view.go
+++ b/gang/view.go
@@ -56,8 +56,8 @@
 	}
 }
 
-func waiting(rec job.Record) placement.Waiting {
-	return placement.Waiting{
+func waiting(rec job.Record) placement.WaitingJob {
+	return placement.WaitingJob{
 		ID:          rec.Spec.ID,
 		Team:        rec.Team,
 		Template:    rec.Spec.Template,
@@ -77,14 +77,14 @@
 	var out []placement.Worker
 	for _, h := range s.o.Membership.View().Workers(s.o.FailureDomain) {
 		w := placement.Worker{Name: h.Name, Rack: h.Rack, Accelerators: h.Accelerators}
-		w.Unavailable = s.quarantine.Unavailable(h.Name, now)
+		w.UnavailableReason = s.quarantine.UnavailableReason(h.Name, now)
 		w.Probing = s.quarantine.Probing(h.Name, now)
 		last, missed := s.silent[h.Name]
 		switch {
 		case h.Leaving:
-			w.Unavailable = "leaving"
+			w.UnavailableReason = "leaving"
 		case missed && now.Sub(last) < silentFor:
-			w.Unavailable = "silent"
+			w.UnavailableReason = "silent"
 		}
 		out = append(out, w)
 	}
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -40,9 +40,9 @@
 
 // Choice tells whom to stop, and where the waiting gang then goes.
 type Choice struct {
-	Victims []int // borrowers, by position
-	Placement   []int // worker of each task
-	Cost    float64
+	Victims   []int // borrowers, by position
+	Placement []int // worker of each task
+	Cost      float64
 }
 
 // request is what a call of Choose looks for.
--- a/placement/backfill.go
+++ b/placement/backfill.go
@@ -47,7 +47,7 @@
 
 // startRest starts jobs in order where they fit, and reserves places for the
 // first ones that do not.
-func (d *decision) startRest(queue []*Waiting) {
+func (d *decision) startRest(queue []*WaitingJob) {
 	b := &backfill{d: d, shortages: map[job.Shape]string{}}
 	b.rebuild()
 	for _, w := range queue {
@@ -60,7 +60,7 @@
 	d.left = b.levels[len(b.levels)-1].free
 }
 
-func (b *backfill) serve(w *Waiting) {
+func (b *backfill) serve(w *WaitingJob) {
 	avoid := b.d.avoid(w)
 	if b.fit(0, w, avoid) == nil {
 		b.block(w, avoid)
@@ -79,7 +79,7 @@
 }
 
 // fit finds a place beside the first n reservations.
-func (b *backfill) fit(n int, w *Waiting, avoid topology.AvoidFunc) []int {
+func (b *backfill) fit(n int, w *WaitingJob, avoid topology.AvoidFunc) []int {
 	l := b.levels[n]
 	if l.failed[w.Shape] {
 		return nil
@@ -92,7 +92,7 @@
 }
 
 // respected returns how many reservations begin before the job would end.
-func (b *backfill) respected(w *Waiting) int {
+func (b *backfill) respected(w *WaitingJob) int {
 	if len(b.reservations) == 0 {
 		return 0
 	}
@@ -102,7 +102,7 @@
 }
 
 // block holds a job, and reserves a place for it if there are few reservations.
-func (b *backfill) block(w *Waiting, avoid topology.AvoidFunc) {
+func (b *backfill) block(w *WaitingJob, avoid topology.AvoidFunc) {
 	if len(b.reservations) >= maxReservations {
 		b.d.hold(w, b.shortage(w.Shape))
 		return
@@ -133,7 +133,7 @@
 
 // reserve finds the earliest time at which the job is expected to fit, and
 // where. The time is the end of the last gang that must end before.
-func (b *backfill) reserve(w *Waiting, avoid topology.AvoidFunc) (reservation, bool) {
+func (b *backfill) reserve(w *WaitingJob, avoid topology.AvoidFunc) (reservation, bool) {
 	if b.endings == nil {
 		b.endings = b.d.expectedEnds()
 	}
--- a/placement/baseline_test.go
+++ b/placement/baseline_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	queue := slices.Clone(v.Waiting)
-	slices.SortStableFunc(queue, func(a, b Waiting) int { return a.Submitted.Compare(b.Submitted) })
+	slices.SortStableFunc(queue, func(a, b WaitingJob) int { return a.Submitted.Compare(b.Submitted) })
 	for _, w := range queue {
 		place := firstFit(k, w.Shape)
 		if place == nil {
--- a/placement/checker_test.go
+++ b/placement/checker_test.go
@@ -55,7 +55,7 @@
 		near := map[string]bool{}
 		for _, name := range s.Workers {
 			worker := workerOf(v, name)
-			if worker.Unavailable != "" || worker.Probing && w.Shape.Tasks > 1 {
+			if worker.UnavailableReason != "" || worker.Probing && w.Shape.Tasks > 1 {
 				return fmt.Errorf("%v starts on %s, which takes no tasks", s.ID, name)
 			}
 			switch w.Shape.Adjacency {
@@ -158,7 +158,7 @@
 			ID: w.ID, Team: w.Team, Template: w.Template, Shape: w.Shape, Workers: s.Workers, Urgent: w.Urgent,
 			Checkpoint: w.Checkpoint, Guaranteed: s.Guaranteed, Started: v.Now, DeclaredRun: w.DeclaredRun,
 		})
-		v.Waiting = slices.DeleteFunc(v.Waiting, func(o Waiting) bool { return o.ID == s.ID })
+		v.Waiting = slices.DeleteFunc(v.Waiting, func(o WaitingJob) bool { return o.ID == s.ID })
 	}
 	for _, r := range p.Reclaims {
 		i := slices.IndexFunc(v.Running, func(g Gang) bool { return g.ID == r.ID })
@@ -176,13 +176,13 @@
 	return v
 }
 
-func waitingOf(v View, id job.ID) Waiting {
+func waitingOf(v View, id job.ID) WaitingJob {
 	for _, w := range v.Waiting {
 		if w.ID == id {
 			return w
 		}
 	}
-	return Waiting{}
+	return WaitingJob{}
 }
 
 func workerOf(v View, name string) Worker {
@@ -191,7 +191,7 @@
 			return w
 		}
 	}
-	return Worker{Unavailable: "unknown"}
+	return Worker{UnavailableReason: "unknown"}
 }
 
 func copies(v View) []Guarantee {
@@ -272,7 +272,7 @@
 	kept := protectedGangs(v)
 	free := map[string]int{}
 	for _, w := range v.Workers {
-		if w.Unavailable == "" && !w.Probing {
+		if w.UnavailableReason == "" && !w.Probing {
 			free[w.Name] = w.Accelerators
 		}
 	}
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -149,7 +149,7 @@
 }
 
 // start puts a start into the plan and takes its accelerators.
-func (d *decision) start(w *Waiting, place []int, guaranteed bool) {
+func (d *decision) start(w *WaitingJob, place []int, guaranteed bool) {
 	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.WorkerNames(place), Guaranteed: guaranteed})
 	d.setAside(place, w.Shape)
 	d.use(w.ID.Organisation, w.Team, w.Shape)
@@ -161,7 +161,7 @@
 	d.soon.AllocateAll(place, s.AcceleratorsPerTask)
 }
 
-func (d *decision) hold(w *Waiting, reason string) {
+func (d *decision) hold(w *WaitingJob, reason string) {
 	d.plan.Holds = append(d.plan.Holds, Hold{ID: w.ID, Reason: reason})
 }
 
@@ -209,7 +209,7 @@
 			Name:         w.Name,
 			Rack:         w.Rack,
 			Accelerators: w.Accelerators,
-			Unavailable:  w.Unavailable != "" || w.Probing,
+			Unavailable:  w.UnavailableReason != "" || w.Probing,
 		}
 	}
 	return out
--- a/placement/decide_bench_test.go
+++ b/placement/decide_bench_test.go
@@ -18,7 +18,7 @@
 		v.Estimates.Observe(j.ID.Service, j.Template, j.DeclaredRun, j.run)
 	}
 	for i, j := range trace {
-		w := j.Waiting
+		w := j.WaitingJob
 		if w.Submitted = v.Now.Add(-time.Duration(i%500) * time.Minute); i < 7*workers/32 {
 			w.Shape = job.Shape{Tasks: 32, Adjacency: job.SameFailureDomain}
 		}
@@ -29,7 +29,7 @@
 		v.Running[i].Started = v.Now.Add(-time.Duration(i%300) * time.Minute)
 	}
 	for i := range trace {
-		w := trace[i%len(trace)].Waiting
+		w := trace[i%len(trace)].WaitingJob
 		w.ID.Name += fmt.Sprint("-", i)
 		v.Waiting = append(v.Waiting, w)
 	}
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -34,8 +34,8 @@
 }
 
 // waiting adds a job that declared run and was submitted ago.
-func (b *builder) waiting(org, name string, s job.Shape, run, ago time.Duration) *Waiting {
-	b.v.Waiting = append(b.v.Waiting, Waiting{
+func (b *builder) waiting(org, name string, s job.Shape, run, ago time.Duration) *WaitingJob {
+	b.v.Waiting = append(b.v.Waiting, WaitingJob{
 		ID: job.ID{Organisation: org, Service: "s", Name: name}, Shape: s, Submitted: noon.Add(-ago), DeclaredRun: run,
 	})
 	return &b.v.Waiting[len(b.v.Waiting)-1]
@@ -140,7 +140,7 @@
 	b := newBuilder(2)
 	b.v.Guarantees = []Guarantee{{"a", whole, 2}}
 	must.Len(t, 0, Decide(b.v).Deficits)
-	b.v.Workers[1].Unavailable = "silent"
+	b.v.Workers[1].UnavailableReason = "silent"
 	d := Decide(b.v).Deficits
 	must.Eq(t, []Deficit{{"a", whole, 1, "1 workers with 4 accelerators are unavailable; bring them back or lower the guarantees"}}, d)
 	b.v.Guarantees[0].Count = 3
@@ -160,7 +160,7 @@
 		{shapeOf(65, 0, job.SameFailureDomain), "within these bounds"},
 	}
 	v := newBuilder(4).v
-	v.Workers[0].Unavailable = "leaving" // counts: it may come back
+	v.Workers[0].UnavailableReason = "leaving" // counts: it may come back
 	for _, c := range cases {
 		ok, _, remedy := Feasible(v.Workers, c.shape)
 		must.Eq(t, c.remedy == "", ok)
@@ -202,10 +202,10 @@
 	o.waiting("b", "wide", shapeOf(2, 4, job.SameRack), time.Hour, time.Hour)
 	o.waiting("b", "fits", whole, time.Hour, time.Hour)
 	o.waiting("b", "late", whole, time.Hour, time.Minute)
-	must.Eq(t, []job.ID{o.v.Waiting[1].ID}, Pull(b.v, o.v.Waiting))
+	must.Eq(t, []job.ID{o.v.Waiting[1].ID}, PullableJobs(b.v, o.v.Waiting))
 	b.v.Out = true
-	must.Len(t, 0, Pull(b.v, o.v.Waiting))
+	must.Len(t, 0, PullableJobs(b.v, o.v.Waiting))
 	b.v.Out = false
 	b.waiting("a", "own", shapeOf(2, 4, job.SameRack), time.Minute, time.Hour) // has a reservation
-	must.Len(t, 0, Pull(b.v, o.v.Waiting))
+	must.Len(t, 0, PullableJobs(b.v, o.v.Waiting))
 }
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -30,7 +30,7 @@
 func (d *decision) deficitReason() string {
 	workers, accelerators := 0, 0
 	for _, w := range d.v.Workers {
-		if w.Unavailable != "" {
+		if w.UnavailableReason != "" {
 			workers++
 			accelerators += w.Accelerators
 		}
--- a/placement/displace.go
+++ b/placement/displace.go
@@ -20,7 +20,7 @@
 // saves it more waiting than it costs them, and returns where the job then goes.
 // An overdue job need not save more than it costs.
 // A gang that finds room elsewhere loses a restart, another also the job's run.
-func (b *backfill) displace(w *Waiting, r reservation, avoid topology.AvoidFunc) (place []int, ok bool) {
+func (b *backfill) displace(w *WaitingJob, r reservation, avoid topology.AvoidFunc) (place []int, ok bool) {
 	d := b.d
 	saved := r.from.Sub(d.v.Now) - stopGrace
 	if saved < shortestSaved || d.anyStopping() {
@@ -51,7 +51,7 @@
 }
 
 // delay returns the sum of the delays of the gangs that a choice displaces.
-func (b *backfill) delay(w *Waiting, room *topology.Capacity, c guarantee.Choice, run time.Duration) time.Duration {
+func (b *backfill) delay(w *WaitingJob, room *topology.Capacity, c guarantee.Choice, run time.Duration) time.Duration {
 	d := b.d
 	k := room.Clone()
 	for _, v := range c.Victims {
--- a/placement/guaranteed.go
+++ b/placement/guaranteed.go
@@ -21,8 +21,8 @@
 // startGuaranteed starts the waiting jobs that fit an unused guaranteed shape,
 // or reclaims for them, and returns the other jobs. Urgent and older ones come
 // first, so that a later job never takes what was reclaimed for another.
-func (d *decision) startGuaranteed(queue []*Waiting) []*Waiting {
-	served := map[*Waiting]bool{}
+func (d *decision) startGuaranteed(queue []*WaitingJob) []*WaitingJob {
+	served := map[*WaitingJob]bool{}
 	for _, w := range byRight(queue, d.mayClaim()) {
 		served[w] = d.serveGuaranteed(w)
 	}
@@ -31,9 +31,9 @@
 
 // mayClaim returns a test whether a job may find an unused slot, which asks
 // the assignment but once for equal claims.
-func (d *decision) mayClaim() func(w *Waiting) bool {
+func (d *decision) mayClaim() func(w *WaitingJob) bool {
 	known := map[guarantee.Claim]bool{}
-	return func(w *Waiting) bool {
+	return func(w *WaitingJob) bool {
 		c := claimOf(w.ID, w.Shape, w.Urgent)
 		found, ok := known[c]
 		if !ok {
@@ -56,7 +56,7 @@
 }
 
 // serveGuaranteed reports whether the job was started or reclaimed for.
-func (d *decision) serveGuaranteed(w *Waiting) bool {
+func (d *decision) serveGuaranteed(w *WaitingJob) bool {
 	slot, ok := d.assignment.FindSlot(claimOf(w.ID, w.Shape, w.Urgent))
 	if !ok || d.overQuota(w) {
 		return false
@@ -79,14 +79,14 @@
 }
 
 // startWithin starts a job within its organisation's guarantee.
-func (d *decision) startWithin(w *Waiting, place []int) {
+func (d *decision) startWithin(w *WaitingJob, place []int) {
 	d.claim(w, place)
 	d.start(w, place, true)
 }
 
 // claim makes the place firm and the job's slot used. The places that back
 // other slots stay as they are unless the place took some of them.
-func (d *decision) claim(w *Waiting, place []int) {
+func (d *decision) claim(w *WaitingJob, place []int) {
 	slot, _ := d.assignment.AddClaim(claimOf(w.ID, w.Shape, w.Urgent))
 	spare := d.spare(slot)
 	d.firm.AllocateAll(place, w.Shape.AcceleratorsPerTask)
@@ -121,7 +121,7 @@
 
 // leavesBacking reports whether as many of the other unused slots can be
 // backed once the job runs at the place as before.
-func (d *decision) leavesBacking(w *Waiting, slot int, place []int) bool {
+func (d *decision) leavesBacking(w *WaitingJob, slot int, place []int) bool {
 	others := d.assignment.UnusedSlots(slot)
 	before := 0
 	if len(d.backing.UnbackedSlots()) > 0 {
@@ -134,7 +134,7 @@
 
 // reclaimWithin sets accelerators aside for a guaranteed job and asks the
 // borrowers on them to stop. What is stopping already is used first.
-func (d *decision) reclaimWithin(w *Waiting, spare *topology.Capacity, avoid topology.AvoidFunc) bool {
+func (d *decision) reclaimWithin(w *WaitingJob, spare *topology.Capacity, avoid topology.AvoidFunc) bool {
 	room := d.soon.LimitedTo(spare)
 	choice, ok := d.choose(room, w, avoid, func(int) bool { return true })
 	if !ok {
@@ -147,7 +147,7 @@
 }
 
 // commit reclaims what a choice names and sets its place aside.
-func (d *decision) commit(w *Waiting, c guarantee.Choice, reason string) {
+func (d *decision) commit(w *WaitingJob, c guarantee.Choice, reason string) {
 	d.reclaim(c.Victims, w.ID, reason)
 	d.setAside(c.Placement, w.Shape)
 	d.use(w.ID.Organisation, w.Team, w.Shape)
@@ -155,7 +155,7 @@
 
 // choose picks the borrowers to stop for a job among those that are allowed
 // and not yet asked to.
-func (d *decision) choose(room *topology.Capacity, w *Waiting, avoid topology.AvoidFunc, allowed func(borrower int) bool) (guarantee.Choice, bool) {
+func (d *decision) choose(room *topology.Capacity, w *WaitingJob, avoid topology.AvoidFunc, allowed func(borrower int) bool) (guarantee.Choice, bool) {
 	if d.reclaimer == nil {
 		d.reclaimer = d.newReclaimer()
 		d.victims = make([]bool, len(d.borrowers))
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -47,7 +47,7 @@
 	if len(m.v.Guarantees) > 0 && rapid.Bool().Draw(t, "guaranteed") {
 		shape = rapid.SampledFrom(m.v.Guarantees).Draw(t, "like").Shape
 	}
-	m.v.Waiting = append(m.v.Waiting, Waiting{
+	m.v.Waiting = append(m.v.Waiting, WaitingJob{
 		ID: job.ID{
 			Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
 			Service:      "s",
@@ -87,7 +87,7 @@
 }
 
 func (m *model) cancelWave(t *rapid.T) {
-	m.v.Waiting = slices.DeleteFunc(m.v.Waiting, func(Waiting) bool { return rapid.Bool().Draw(t, "cancel") })
+	m.v.Waiting = slices.DeleteFunc(m.v.Waiting, func(WaitingJob) bool { return rapid.Bool().Draw(t, "cancel") })
 	if i := m.gang(t); i >= 0 {
 		m.v.Running[i].Stopping = true
 	}
@@ -97,7 +97,7 @@
 func (m *model) stop(t *rapid.T) {
 	for _, g := range m.v.Running {
 		if g.Stopping && rapid.Bool().Draw(t, "again") {
-			m.v.Waiting = append(m.v.Waiting, Waiting{
+			m.v.Waiting = append(m.v.Waiting, WaitingJob{
 				ID: g.ID, Team: g.Team, Shape: g.Shape, Urgent: g.Urgent, Checkpoint: g.Checkpoint,
 				Submitted: g.Started, DeclaredRun: g.DeclaredRun, Avoid: g.Workers[:1],
 			})
@@ -111,13 +111,13 @@
 func (m *model) changeWorker(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.v.Workers)-1).Draw(t, "worker")
 	w := &m.v.Workers[i]
-	w.Unavailable, w.Probing = "", false
+	w.UnavailableReason, w.Probing = "", false
 	switch rapid.IntRange(0, 11).Draw(t, "change") {
 	case 0:
-		w.Unavailable = "silent"
+		w.UnavailableReason = "silent"
 		m.v.Running = slices.DeleteFunc(m.v.Running, func(g Gang) bool { return slices.Contains(g.Workers, w.Name) })
 	case 1:
-		w.Unavailable = "leaving"
+		w.UnavailableReason = "leaving"
 	case 2:
 		w.Probing = true
 	}
@@ -161,7 +161,7 @@
 	v = cloneView(v)
 	v.Now = v.Now.Add(time.Minute)
 	v.Running = slices.DeleteFunc(v.Running, func(g Gang) bool { return g.Stopping })
-	v.Waiting = slices.DeleteFunc(v.Waiting, func(w Waiting) bool { return w.Team == "small" })
+	v.Waiting = slices.DeleteFunc(v.Waiting, func(w WaitingJob) bool { return w.Team == "small" })
 	next := Decide(v)
 	for _, h := range p.Holds {
 		if h.Reason == reasonReclaiming && slices.ContainsFunc(next.Holds, func(o Hold) bool { return o.ID == h.ID }) {
@@ -198,8 +198,8 @@
 
 // otherUrgent reports whether another urgent job of the organisation may take
 // the same copy.
-func otherUrgent(v View, w Waiting) bool {
-	return slices.ContainsFunc(v.Waiting, func(o Waiting) bool {
+func otherUrgent(v View, w WaitingJob) bool {
+	return slices.ContainsFunc(v.Waiting, func(o WaitingJob) bool {
 		return o.ID != w.ID && o.Urgent && o.ID.Organisation == w.ID.Organisation
 	})
 }
--- a/placement/predict.go
+++ b/placement/predict.go
@@ -27,16 +27,16 @@
 }
 
 // order returns the run time by which a waiting job is ordered.
-func (p *predictor) order(w *Waiting) time.Duration {
+func (p *predictor) order(w *WaitingJob) time.Duration {
 	return p.scaled(w, func(b *blend) float64 { return b.order })
 }
 
 // backfill returns the run time that a waiting job is given to go ahead.
-func (p *predictor) backfill(w *Waiting) time.Duration {
+func (p *predictor) backfill(w *WaitingJob) time.Duration {
 	return p.scaled(w, func(b *blend) float64 { return b.backfill })
 }
 
-func (p *predictor) scaled(w *Waiting, ratio func(b *blend) float64) time.Duration {
+func (p *predictor) scaled(w *WaitingJob, ratio func(b *blend) float64) time.Duration {
 	declared := max(w.DeclaredRun, shortestRun)
 	if p.estimates == nil {
 		return declared
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -5,13 +5,13 @@
 // startProbes gives each idle worker on trial one job of a single task, and
 // returns the other jobs. A probe is never urgent work, and never counts
 // against a guarantee.
-func (d *decision) startProbes(queue []*Waiting) []*Waiting {
+func (d *decision) startProbes(queue []*WaitingJob) []*WaitingJob {
 	for i := range d.v.Workers {
 		worker := &d.v.Workers[i]
-		if !worker.Probing || worker.Unavailable != "" || d.busy(worker.Name) {
+		if !worker.Probing || worker.UnavailableReason != "" || d.busy(worker.Name) {
 			continue
 		}
-		j := slices.IndexFunc(queue, func(w *Waiting) bool { return d.probes(w, worker) })
+		j := slices.IndexFunc(queue, func(w *WaitingJob) bool { return d.probes(w, worker) })
 		if j < 0 {
 			continue
 		}
@@ -24,7 +24,7 @@
 }
 
 // probes reports whether a job can show that a worker is well again.
-func (d *decision) probes(w *Waiting, worker *Worker) bool {
+func (d *decision) probes(w *WaitingJob, worker *Worker) bool {
 	return w.Shape.Tasks == 1 &&
 		w.Shape.AcceleratorsPerTask <= worker.Accelerators &&
 		!w.Urgent &&
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -2,10 +2,10 @@
 
 import "github.com/cyclamentray/cyclamentray/job"
 
-// Pull returns which of the jobs offered by other failure domains, where they
+// PullableJobs returns which of the jobs offered by other failure domains, where they
 // are held, this one could start at once beside its own jobs and reservations.
 // They are taken in the order offered. It does not change v.
-func Pull(v View, offered []Waiting) []job.ID {
+func PullableJobs(v View, offered []WaitingJob) []job.ID {
 	if v.Out || len(offered) == 0 {
 		return nil
 	}
--- a/placement/quarantine.go
+++ b/placement/quarantine.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Failed records that a job's task failed on a worker, out of fleet workers. It
+// RecordFailure records that a job's task failed on a worker, out of fleet workers. It
 // reports whether the job itself is at fault, and why.
-func (q *Quarantine) Failed(worker string, id job.ID, template string, fleet int, now time.Time) (jobFails bool, reason string) {
+func (q *Quarantine) RecordFailure(worker string, id job.ID, template string, fleet int, now time.Time) (jobFails bool, reason string) {
 	t := templateKey{id.Organisation, id.Service, template}
 	q.jobs[id] = withName(q.jobs[id], worker)
 	q.templates[t] = withName(q.templates[t], worker)
@@ -77,9 +77,9 @@
 	return true, fmt.Sprintf("it failed on %d different workers; look at its logs, mend it and submit it under a new name", failed)
 }
 
-// Succeeded records that a job ended well on its workers: nothing is held
+// RecordSuccess records that a job ended well on its workers: nothing is held
 // against them or its template any more.
-func (q *Quarantine) Succeeded(workers []string, id job.ID, template string) {
+func (q *Quarantine) RecordSuccess(workers []string, id job.ID, template string) {
 	for _, w := range workers {
 		delete(q.workers, w)
 	}
@@ -87,14 +87,14 @@
 	delete(q.jobs, id)
 }
 
-// Forget drops what is known of a job that has ended.
-func (q *Quarantine) Forget(id job.ID) { delete(q.jobs, id) }
+// ForgetJob drops what is known of a job that has ended.
+func (q *Quarantine) ForgetJob(id job.ID) { delete(q.jobs, id) }
 
-// Avoid returns the workers on which a job has failed, in name order.
-func (q *Quarantine) Avoid(id job.ID) []string { return slices.Clone(q.jobs[id]) }
+// FailedWorkers returns the workers on which a job has failed, in name order.
+func (q *Quarantine) FailedWorkers(id job.ID) []string { return slices.Clone(q.jobs[id]) }
 
-// Unavailable tells why a worker takes no tasks; empty if it does.
-func (q *Quarantine) Unavailable(worker string, now time.Time) string {
+// UnavailableReason tells why a worker takes no tasks; empty if it does.
+func (q *Quarantine) UnavailableReason(worker string, now time.Time) string {
 	h := q.workers[worker]
 	if h == nil || !now.Before(h.until) {
 		return ""
@@ -110,8 +110,8 @@
 	return h != nil && !h.until.IsZero() && !now.Before(h.until)
 }
 
-// Next returns when the next quarantine ends; zero if there is none.
-func (q *Quarantine) Next(now time.Time) time.Time {
+// NextEnd returns when the next quarantine ends; zero if there is none.
+func (q *Quarantine) NextEnd(now time.Time) time.Time {
 	var next time.Time
 	for _, h := range q.workers {
 		if h.until.After(now) && (next.IsZero() || h.until.Before(next)) {
@@ -124,7 +124,7 @@
 // mayQuarantine reports whether enough different jobs have failed on a worker,
 // or one on trial, and not too many workers are quarantined.
 func (q *Quarantine) mayQuarantine(worker string, fleet int, now time.Time) bool {
-	if q.Unavailable(worker, now) != "" {
+	if q.UnavailableReason(worker, now) != "" {
 		return false
 	}
 	count, others := 0, 0
--- a/placement/quarantine_test.go
+++ b/placement/quarantine_test.go
@@ -18,31 +18,31 @@
 func TestQuarantineBacksOffAndProbes(t *testing.T) {
 	q := NewQuarantine()
 	for n := range workerFailures {
-		must.Eq(t, "", q.Unavailable("w", noon))
-		q.Failed("w", jobID("s", n), "t", 20, noon)
-		q.Failed("w", jobID("s", n), "t", 20, noon) // the same job counts once
+		must.Eq(t, "", q.UnavailableReason("w", noon))
+		q.RecordFailure("w", jobID("s", n), "t", 20, noon)
+		q.RecordFailure("w", jobID("s", n), "t", 20, noon) // the same job counts once
 	}
-	must.StrContains(t, q.Unavailable("w", noon), "3 different jobs")
+	must.StrContains(t, q.UnavailableReason("w", noon), "3 different jobs")
 	end := noon.Add(firstBackOff)
-	must.Eq(t, end, q.Next(noon))
-	must.Eq(t, "", q.Unavailable("w", end))
+	must.Eq(t, end, q.NextEnd(noon))
+	must.Eq(t, "", q.UnavailableReason("w", end))
 	must.True(t, q.Probing("w", end))
 
-	q.Failed("w", jobID("s", 9), "t", 20, end) // one failure on trial doubles the back-off
-	must.NotEq(t, "", q.Unavailable("w", end.Add(2*firstBackOff-1)))
+	q.RecordFailure("w", jobID("s", 9), "t", 20, end) // one failure on trial doubles the back-off
+	must.NotEq(t, "", q.UnavailableReason("w", end.Add(2*firstBackOff-1)))
 	end = end.Add(2 * firstBackOff)
-	q.Succeeded([]string{"w"}, jobID("s", 10), "t")
+	q.RecordSuccess([]string{"w"}, jobID("s", 10), "t")
 	must.False(t, q.Probing("w", end))
-	must.Eq(t, "", q.Unavailable("w", end))
+	must.Eq(t, "", q.UnavailableReason("w", end))
 }
 
 func TestQuarantineBlamesTemplateThatFailsEverywhere(t *testing.T) {
 	q := NewQuarantine()
 	for n := range 30 {
-		q.Failed(fmt.Sprintf("w%d", n%10), jobID("broken", n), "t", 20, noon)
+		q.RecordFailure(fmt.Sprintf("w%d", n%10), jobID("broken", n), "t", 20, noon)
 	}
 	for n := range 10 {
-		must.Eq(t, "", q.Unavailable(fmt.Sprintf("w%d", n), noon))
+		must.Eq(t, "", q.UnavailableReason(fmt.Sprintf("w%d", n), noon))
 	}
 }
 
@@ -51,9 +51,9 @@
 	out := 0
 	for w := range 12 {
 		for n := range 5 {
-			q.Failed(fmt.Sprintf("w%d", w), jobID(fmt.Sprintf("s%d-%d", w, n), n), "t", 12, noon)
+			q.RecordFailure(fmt.Sprintf("w%d", w), jobID(fmt.Sprintf("s%d-%d", w, n), n), "t", 12, noon)
 		}
-		if q.Unavailable(fmt.Sprintf("w%d", w), noon) != "" {
+		if q.UnavailableReason(fmt.Sprintf("w%d", w), noon) != "" {
 			out++
 		}
 	}
@@ -64,22 +64,22 @@
 	q := NewQuarantine()
 	id := jobID("s", 1)
 	for _, w := range []string{"w2", "w1", "w1"} {
-		fails, _ := q.Failed(w, id, "t", 20, noon)
+		fails, _ := q.RecordFailure(w, id, "t", 20, noon)
 		must.False(t, fails)
 	}
-	must.Eq(t, []string{"w1", "w2"}, q.Avoid(id))
-	fails, reason := q.Failed("w3", id, "t", 20, noon)
+	must.Eq(t, []string{"w1", "w2"}, q.FailedWorkers(id))
+	fails, reason := q.RecordFailure("w3", id, "t", 20, noon)
 	must.True(t, fails)
 	must.StrContains(t, reason, "3 different workers")
-	q.Forget(id)
-	must.Len(t, 0, q.Avoid(id))
+	q.ForgetJob(id)
+	must.Len(t, 0, q.FailedWorkers(id))
 }
 
 func TestProbeTakesOneSmallJob(t *testing.T) {
 	one := job.Shape{Tasks: 1, AcceleratorsPerTask: 1, Adjacency: job.SameWorker}
 	v := View{Now: noon, Workers: []Worker{{Name: "w", Rack: "r", Accelerators: 4, Probing: true}}}
 	for n := range 3 {
-		v.Waiting = append(v.Waiting, Waiting{ID: jobID("s", n), Shape: one, Submitted: noon, DeclaredRun: time.Hour})
+		v.Waiting = append(v.Waiting, WaitingJob{ID: jobID("s", n), Shape: one, Submitted: noon, DeclaredRun: time.Hour})
 	}
 	v.Waiting[0].Shape.Tasks = 2
 	v.Waiting[1].Avoid = []string{"w"}
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -33,14 +33,14 @@
 
 // ranked is a waiting job with its place in the order.
 type ranked struct {
-	w       *Waiting
+	w       *WaitingJob
 	score   float64
 	overdue bool
 }
 
 // admit holds the jobs that can never run and returns the others in order:
 // overdue ones, then those that have waited longest for their work.
-func (d *decision) admit() []*Waiting {
+func (d *decision) admit() []*WaitingJob {
 	queue := make([]ranked, 0, len(d.v.Waiting))
 	for i := range d.v.Waiting {
 		w := &d.v.Waiting[i]
@@ -51,7 +51,7 @@
 		queue = append(queue, ranked{w, d.score(w), d.overdue(w)})
 	}
 	slices.SortFunc(queue, compareRanked)
-	out := make([]*Waiting, len(queue))
+	out := make([]*WaitingJob, len(queue))
 	for i, r := range queue {
 		out[i] = r.w
 	}
@@ -75,7 +75,7 @@
 }
 
 // compareAges orders jobs by submission.
-func compareAges(a, b *Waiting) int {
+func compareAges(a, b *WaitingJob) int {
 	if c := a.Submitted.Compare(b.Submitted); c != 0 {
 		return c
 	}
@@ -85,7 +85,7 @@
 // overdue reports whether a job has waited too long and fits beside all
 // guarantees. One that does not can run only while guarantees are not used, so
 // that keeping accelerators for it would hold up others for nothing.
-func (d *decision) overdue(w *Waiting) bool {
+func (d *decision) overdue(w *WaitingJob) bool {
 	if d.v.Now.Sub(w.Submitted) < overdueAfter {
 		return false
 	}
@@ -99,7 +99,7 @@
 
 // score grows with a job's wait, and falls with its expected run time and its
 // size: little work that has waited long comes first.
-func (d *decision) score(w *Waiting) float64 {
+func (d *decision) score(w *WaitingJob) float64 {
 	run := d.predicts.order(w).Seconds()
 	size := float64(max(1, w.Shape.Accelerators()))
 	size *= 1 + shareWeight*float64(d.usage[w.ID.Organisation])/float64(max(1, d.whole().TotalFree()))
@@ -135,19 +135,19 @@
 }
 
 // overQuota reports whether a job would take its team over its quota.
-func (d *decision) overQuota(w *Waiting) bool {
+func (d *decision) overQuota(w *WaitingJob) bool {
 	q := d.teams[team{w.ID.Organisation, w.Team}]
 	return q != nil && q.limit > 0 && q.used+w.Shape.Accelerators() > q.limit
 }
 
-func (d *decision) holdForQuota(w *Waiting) {
+func (d *decision) holdForQuota(w *WaitingJob) {
 	t := team{w.ID.Organisation, w.Team}
 	d.hold(w, d.teams[t].reason(t, w.Shape))
 }
 
 // avoid reports the workers on which a job has failed. They are used all the
 // same when no other workers could ever hold it.
-func (d *decision) avoid(w *Waiting) topology.AvoidFunc {
+func (d *decision) avoid(w *WaitingJob) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
 	}
@@ -164,9 +164,9 @@
 
 // startUrgent starts urgent jobs outside guarantees where accelerators are
 // free, or reclaims from borrowers that are not urgent. It returns the rest.
-func (d *decision) startUrgent(queue []*Waiting) []*Waiting {
-	urgent := byRight(queue, func(w *Waiting) bool { return w.Urgent })
-	served := map[*Waiting]bool{}
+func (d *decision) startUrgent(queue []*WaitingJob) []*WaitingJob {
+	urgent := byRight(queue, func(w *WaitingJob) bool { return w.Urgent })
+	served := map[*WaitingJob]bool{}
 	for _, w := range urgent {
 		served[w] = !d.overQuota(w) && d.serveUrgent(w)
 	}
@@ -174,14 +174,14 @@
 }
 
 // byRight returns the jobs that match, urgent ones first, then by submission.
-func byRight(queue []*Waiting, match func(w *Waiting) bool) []*Waiting {
-	var out []*Waiting
+func byRight(queue []*WaitingJob, match func(w *WaitingJob) bool) []*WaitingJob {
+	var out []*WaitingJob
 	for _, w := range queue {
 		if match(w) {
 			out = append(out, w)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Waiting) int {
+	slices.SortFunc(out, func(a, b *WaitingJob) int {
 		if c := compareUrgency(a.Urgent, b.Urgent); c != 0 {
 			return c
 		}
@@ -191,14 +191,14 @@
 }
 
 // without returns the queue without the jobs that are served.
-func without(queue []*Waiting, served map[*Waiting]bool) []*Waiting {
+func without(queue []*WaitingJob, served map[*WaitingJob]bool) []*WaitingJob {
 	if len(served) == 0 {
 		return queue
 	}
-	return slices.DeleteFunc(queue, func(w *Waiting) bool { return served[w] })
+	return slices.DeleteFunc(queue, func(w *WaitingJob) bool { return served[w] })
 }
 
-func (d *decision) serveUrgent(w *Waiting) bool {
+func (d *decision) serveUrgent(w *WaitingJob) bool {
 	avoid := d.avoid(w)
 	if place := d.free.Fit(w.Shape, avoid); place != nil {
 		d.start(w, place, false)
@@ -222,7 +222,7 @@
 }
 
 func (d *decision) wakeAt(t time.Time) {
-	if d.plan.Wake.IsZero() || t.Before(d.plan.Wake) {
-		d.plan.Wake = t
+	if d.plan.DecideAgainAt.IsZero() || t.Before(d.plan.DecideAgainAt) {
+		d.plan.DecideAgainAt = t
 	}
 }
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -143,7 +143,7 @@
 	if !r.pulls || d.out {
 		return
 	}
-	var offered []Waiting
+	var offered []WaitingJob
 	byID := map[job.ID]*replayJob{}
 	for other, from := range r.domains {
 		if other == fd || from.out {
@@ -151,13 +151,13 @@
 		}
 		for _, j := range from.waiting {
 			if r.now.Sub(j.moved) >= replayMovePause {
-				offered = append(offered, j.Waiting)
+				offered = append(offered, j.WaitingJob)
 				byID[j.ID] = j
 			}
 		}
 	}
-	slices.SortStableFunc(offered, func(a, b Waiting) int { return a.Submitted.Compare(b.Submitted) })
-	for _, id := range Pull(r.view(d), offered) {
+	slices.SortStableFunc(offered, func(a, b WaitingJob) int { return a.Submitted.Compare(b.Submitted) })
+	for _, id := range PullableJobs(r.view(d), offered) {
 		j := byID[id]
 		from := r.domains[j.fd]
 		from.waiting = slices.DeleteFunc(from.waiting, func(o *replayJob) bool { return o == j })
@@ -256,7 +256,7 @@
 		v.Running = append(v.Running, j.gang)
 	}
 	for _, j := range d.waiting {
-		v.Waiting = append(v.Waiting, j.Waiting)
+		v.Waiting = append(v.Waiting, j.WaitingJob)
 	}
 	return v
 }
@@ -276,8 +276,8 @@
 		i := slices.IndexFunc(d.running, func(j *replayJob) bool { return j.ID == c.ID })
 		r.reclaim(d.running[i])
 	}
-	if !p.Wake.IsZero() {
-		heap.Push(&r.events, event{at: p.Wake, kind: wake})
+	if !p.DecideAgainAt.IsZero() {
+		heap.Push(&r.events, event{at: p.DecideAgainAt, kind: wake})
 	}
 }
 
--- a/placement/trace_test.go
+++ b/placement/trace_test.go
@@ -13,7 +13,7 @@
 // The trace of docs/design/placement.md.
 
 type traceJob struct {
-	Waiting
+	WaitingJob
 	run time.Duration // true run time
 }
 
@@ -168,7 +168,7 @@
 	for !holds(shape) {
 		shape = drawShape(r)
 	}
-	return traceJob{run: seconds(run), Waiting: Waiting{
+	return traceJob{run: seconds(run), WaitingJob: WaitingJob{
 		ID:          job.ID{Organisation: t.organisation, Service: t.service, Name: fmt.Sprintf("job%06d", n)},
 		Template:    t.name,
 		Shape:       shape,
--- a/placement/types.go
+++ b/placement/types.go
@@ -11,11 +11,11 @@
 
 // Worker is one worker as the scheduler sees it.
 type Worker struct {
-	Name         string
-	Rack         string
-	Accelerators int
-	Unavailable  string // why it takes no new tasks (leaving, quarantined, silent); empty: it does
-	Probing      bool   // back from quarantine on trial: takes one gang of one task at a time
+	Name              string
+	Rack              string
+	Accelerators      int
+	UnavailableReason string // why it takes no new tasks (leaving, quarantined, silent); empty: it does
+	Probing           bool   // back from quarantine on trial: takes one gang of one task at a time
 }
 
 // Gang is a running gang and where its tasks are.
@@ -35,8 +35,8 @@
 	DeclaredRun  time.Duration // as submitted
 }
 
-// Waiting is a queued job.
-type Waiting struct {
+// WaitingJob is a queued job.
+type WaitingJob struct {
 	ID          job.ID
 	Team        string
 	Template    string
@@ -68,7 +68,7 @@
 	Out        bool // operators have taken the failure domain out
 	Workers    []Worker
 	Running    []Gang
-	Waiting    []Waiting
+	Waiting    []WaitingJob
 	Guarantees []Guarantee
 	Quotas     []Quota
 	Estimates  *Estimates // learned run times; nil: declared ones are used
@@ -104,9 +104,9 @@
 
 // Plan is what one decision asks for.
 type Plan struct {
-	Starts   []Start
-	Reclaims []Reclaim
-	Holds    []Hold
-	Deficits []Deficit
-	Wake     time.Time // when to decide again without any event; zero: only on events
+	Starts        []Start
+	Reclaims      []Reclaim
+	Holds         []Hold
+	Deficits      []Deficit
+	DecideAgainAt time.Time // when to decide again without any event; zero: only on events
 }
