--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -15,28 +15,28 @@
 
 // Assignment assigns claims to slots, at most one to each.
 type Assignment struct {
-	slots  []Slot
-	claims []Claim
-	holder []int            // claim that uses each slot; unused: -1
-	byOrg  map[string][]int // slots of each organisation, smallest first
-	free   map[string]int   // unused slots of each organisation
+	slots       []Slot
+	claims      []Claim
+	claimBySlot []int            // claim that uses each slot; unused: -1
+	byOrg       map[string][]int // slots of each organisation, smallest first
+	unusedCount map[string]int   // unused slots of each organisation
 }
 
-const unused = -1
+const noClaim = -1
 
 // NewAssignment returns an assignment in which every slot is unused.
 func NewAssignment(gs []Guarantee) *Assignment {
-	b := &Assignment{byOrg: map[string][]int{}, free: map[string]int{}}
+	b := &Assignment{byOrg: map[string][]int{}, unusedCount: map[string]int{}}
 	for _, g := range gs {
 		for range g.Count {
 			b.slots = append(b.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
 		}
 	}
 	slices.SortStableFunc(b.slots, compareSlots)
-	b.holder = slices.Repeat([]int{unused}, len(b.slots))
+	b.claimBySlot = slices.Repeat([]int{noClaim}, len(b.slots))
 	for i, s := range b.slots {
 		b.byOrg[s.Organisation] = append(b.byOrg[s.Organisation], i)
-		b.free[s.Organisation]++
+		b.unusedCount[s.Organisation]++
 	}
 	return b
 }
@@ -54,34 +54,34 @@
 func (b *Assignment) Slots() []Slot { return b.slots }
 
 // Unused reports whether no claim uses the slot.
-func (b *Assignment) Unused(slot int) bool { return b.holder[slot] == unused }
+func (b *Assignment) Unused(slot int) bool { return b.claimBySlot[slot] == noClaim }
 
 // FindSlot returns the slot that would no longer be unused if the claim were
 // added, without adding it. Earlier claims keep a slot, perhaps another one.
 func (b *Assignment) FindSlot(c Claim) (slot int, ok bool) {
-	return b.walk(c, nil)
+	return b.augment(c, nil)
 }
 
 // AddClaim adds a claim and returns the slot that is no longer unused, if its
 // organisation has one for it.
 func (b *Assignment) AddClaim(c Claim) (slot int, ok bool) {
 	b.claims = append(b.claims, c)
-	slot, ok = b.walk(c, b.assign)
+	slot, ok = b.augment(c, b.setClaim)
 	if !ok {
 		b.claims = b.claims[:len(b.claims)-1]
 		return slot, false
 	}
-	b.free[c.Organisation]--
+	b.unusedCount[c.Organisation]--
 	return slot, true
 }
 
-func (b *Assignment) assign(slot, claim int) { b.holder[slot] = claim }
+func (b *Assignment) setClaim(slot, claim int) { b.claimBySlot[slot] = claim }
 
-// walk searches an augmenting path from the claim to an unused slot, and calls
+// augment searches an augmenting path from the claim to an unused slot, and calls
 // assign for each slot on it. So a claim is turned down only when no way of
 // sharing out the slots serves it beside the earlier ones.
-func (b *Assignment) walk(c Claim, assign func(slot, claim int)) (end int, ok bool) {
-	if b.free[c.Organisation] == 0 {
+func (b *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
+	if b.unusedCount[c.Organisation] == 0 {
 		return 0, false
 	}
 	seen := map[int]bool{}
@@ -92,8 +92,8 @@
 				continue
 			}
 			seen[s] = true
-			h := b.holder[s]
-			if h == unused {
+			h := b.claimBySlot[s]
+			if h == noClaim {
 				end = s
 			} else if !visit(b.claims[h], h) {
 				continue
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -8,39 +8,39 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// searchSteps bounds the search for a backing plan after the quick orders
+// maxSearchSteps bounds the search for a backing plan after the quick orders
 // have failed.
-const searchSteps = 20_000
+const maxSearchSteps = 20_000
 
 // Backing gives unused slots concrete adjacent accelerators, no two the same.
 type Backing struct {
-	places map[int][]int // worker of each task of each backed slot
-	missed []int         // slots without accelerators
+	placements map[int][]int // worker of each task of each backed slot
+	unbacked   []int         // slots without accelerators
 }
 
 // Placement returns the worker of each task of a slot, nil if it has none.
-func (b *Backing) Placement(slot int) []int { return b.places[slot] }
+func (b *Backing) Placement(slot int) []int { return b.placements[slot] }
 
 // UnbackedSlots returns the slots that have no accelerators.
-func (b *Backing) UnbackedSlots() []int { return b.missed }
+func (b *Backing) UnbackedSlots() []int { return b.unbacked }
 
 // PlanBacking makes a backing plan for the given slots of an assignment. The capacity is what
 // non-reclaimable work leaves; it is not changed. When not all slots can be
 // backed, the plan backs as many as the best order found does.
 func (b *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
-	best := b.greedy(k, slots, hardestFirst)
-	for _, order := range []slotOrder{largestFirst, nearestFirst} {
-		if len(best.missed) == 0 {
+	best := b.packGreedily(k, slots, hardestFirst)
+	for _, order := range []slotOrder{largestFirst, racksFirst} {
+		if len(best.unbacked) == 0 {
 			return best
 		}
-		if p := b.greedy(k, slots, order); len(p.missed) < len(best.missed) {
+		if p := b.packGreedily(k, slots, order); len(p.unbacked) < len(best.unbacked) {
 			best = p
 		}
 	}
-	if len(best.missed) == 0 || b.accelerators(slots) > k.TotalFree() {
+	if len(best.unbacked) == 0 || b.accelerators(slots) > k.TotalFree() {
 		return best
 	}
-	if p := b.search(k, slots); p != nil {
+	if p := b.packExhaustively(k, slots); p != nil {
 		return p
 	}
 	return best
@@ -70,10 +70,10 @@
 
 // hardestFirst puts large tasks before small, then near before wide.
 func hardestFirst(a, b job.Shape) int {
-	a, b = normal(a), normal(b)
+	a, b = normalise(a), normalise(b)
 	return cmp.Or(
 		cmp.Compare(b.AcceleratorsPerTask, a.AcceleratorsPerTask),
-		cmp.Compare(width(a.Adjacency), width(b.Adjacency)),
+		cmp.Compare(adjacencyLevel(a.Adjacency), adjacencyLevel(b.Adjacency)),
 		cmp.Compare(b.Tasks, a.Tasks),
 	)
 }
@@ -83,27 +83,27 @@
 	return cmp.Or(cmp.Compare(b.Accelerators(), a.Accelerators()), hardestFirst(a, b))
 }
 
-// nearestFirst puts racks before workers, and both before the failure domain.
-func nearestFirst(a, b job.Shape) int {
+// racksFirst puts racks before workers, and both before the failure domain.
+func racksFirst(a, b job.Shape) int {
 	order := [...]int{1, 0, 2}
 	return cmp.Or(
-		cmp.Compare(order[width(a.Adjacency)], order[width(b.Adjacency)]),
+		cmp.Compare(order[adjacencyLevel(a.Adjacency)], order[adjacencyLevel(b.Adjacency)]),
 		largestFirst(a, b),
 	)
 }
 
-func (b *Assignment) greedy(k *topology.Capacity, slots []int, order slotOrder) *Backing {
+func (b *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
 	k = k.Clone()
-	p := &Backing{places: make(map[int][]int, len(slots))}
+	p := &Backing{placements: make(map[int][]int, len(slots))}
 	for _, s := range b.sorted(slots, order) {
 		shape := b.slots[s].Shape
-		place := k.Fit(shape, nil)
-		if place == nil {
-			p.missed = append(p.missed, s)
+		placement := k.Fit(shape, nil)
+		if placement == nil {
+			p.unbacked = append(p.unbacked, s)
 			continue
 		}
-		k.AllocateAll(place, shape.AcceleratorsPerTask)
-		p.places[s] = place
+		k.AllocateAll(placement, shape.AcceleratorsPerTask)
+		p.placements[s] = placement
 	}
 	return p
 }
@@ -114,23 +114,23 @@
 	return slots
 }
 
-// search tries every way to back all slots, task by task, until it has taken
+// packExhaustively tries every way to back all slots, task by task, until it has taken
 // searchSteps. It returns nil when it found none.
-func (b *Assignment) search(k *topology.Capacity, slots []int) *Backing {
-	s := &searcher{k: k.Clone(), steps: searchSteps}
+func (b *Assignment) packExhaustively(k *topology.Capacity, slots []int) *Backing {
+	s := &searcher{k: k.Clone(), stepsLeft: maxSearchSteps}
 	order := b.sorted(slots, hardestFirst)
 	for _, slot := range order {
-		s.shapes = append(s.shapes, normal(b.slots[slot].Shape))
+		s.shapes = append(s.shapes, normalise(b.slots[slot].Shape))
 	}
-	s.places = make([][]int, len(order))
-	if !s.next(0) {
+	s.placements = make([][]int, len(order))
+	if !s.placeShape(0) {
 		return nil
 	}
-	p := &Backing{places: make(map[int][]int, len(order))}
+	p := &Backing{placements: make(map[int][]int, len(order))}
 	for i, slot := range order {
-		p.places[slot] = s.places[i]
-		if tasks := b.slots[slot].Shape.Tasks; tasks != len(s.places[i]) {
-			p.places[slot] = slices.Repeat(s.places[i], tasks)
+		p.placements[slot] = s.placements[i]
+		if tasks := b.slots[slot].Shape.Tasks; tasks != len(s.placements[i]) {
+			p.placements[slot] = slices.Repeat(s.placements[i], tasks)
 		}
 	}
 	return p
@@ -138,49 +138,49 @@
 
 // searcher is a depth-first search over the places of tasks.
 type searcher struct {
-	k      *topology.Capacity
-	shapes []job.Shape
-	places [][]int
-	steps  int
+	k          *topology.Capacity
+	shapes     []job.Shape
+	placements [][]int
+	stepsLeft  int
 }
 
-// next places the tasks of shape i and of those after it.
-func (s *searcher) next(i int) bool {
+// placeShape places the tasks of shape i and of those after it.
+func (s *searcher) placeShape(i int) bool {
 	if i == len(s.shapes) {
 		return true
 	}
 	if s.shapes[i].Adjacency == job.SameFailureDomain {
-		return s.task(i, 0, s.k.Len())
+		return s.placeTask(i, 0, s.k.Len())
 	}
 	for r := range s.k.RackCount() {
 		ws := s.k.RackWorkers(r)
-		if s.task(i, ws[0], ws[len(ws)-1]+1) {
+		if s.placeTask(i, ws[0], ws[len(ws)-1]+1) {
 			return true
 		}
 	}
 	return false
 }
 
-// task places the next task of shape i on a worker from first up to end. Tasks
+// placeTask places the next placeTask of shape i on a worker from first up to end. Tasks
 // are equal, so they go in the order of workers.
-func (s *searcher) task(i, first, end int) bool {
+func (s *searcher) placeTask(i, first, end int) bool {
 	shape := s.shapes[i]
-	if len(s.places[i]) == shape.Tasks {
-		return s.next(i + 1)
+	if len(s.placements[i]) == shape.Tasks {
+		return s.placeShape(i + 1)
 	}
 	for w := first; w < end; w++ {
 		if s.k.Worker(w).Unavailable || s.k.Free(w) < shape.AcceleratorsPerTask {
 			continue
 		}
-		if s.steps--; s.steps < 0 {
+		if s.stepsLeft--; s.stepsLeft < 0 {
 			return false
 		}
 		s.k.Allocate(w, shape.AcceleratorsPerTask)
-		s.places[i] = append(s.places[i], w)
-		if s.task(i, w, end) {
+		s.placements[i] = append(s.placements[i], w)
+		if s.placeTask(i, w, end) {
 			return true
 		}
-		s.places[i] = s.places[i][:len(s.places[i])-1]
+		s.placements[i] = s.placements[i][:len(s.placements[i])-1]
 		s.k.ReleaseAll([]int{w}, shape.AcceleratorsPerTask)
 	}
 	return false
--- a/guarantee/guarantee.go
+++ b/guarantee/guarantee.go
@@ -21,9 +21,9 @@
 	Urgent       bool
 }
 
-// smallestShare is the inverse of the share of a guaranteed shape that a gang
+// minFillDivisor is the inverse of the share of a guaranteed shape that a gang
 // must fill to count against it, unless it is urgent.
-const smallestShare = 2
+const minFillDivisor = 2
 
 // Fits reports whether a claim may use one copy of a guaranteed shape: it fits
 // inside, and is urgent or fills at least half. Smaller gangs would use up
@@ -32,13 +32,13 @@
 	if c.Shape.Accelerators() == 0 || !Inside(c.Shape, s) {
 		return false
 	}
-	return c.Urgent || smallestShare*c.Shape.Accelerators() >= s.Accelerators()
+	return c.Urgent || minFillDivisor*c.Shape.Accelerators() >= s.Accelerators()
 }
 
 // Inside reports whether a gang of the inner shape runs on the accelerators of
 // any placement of the outer shape.
 func Inside(inner, outer job.Shape) bool {
-	inner, outer = normal(inner), normal(outer)
+	inner, outer = normalise(inner), normalise(outer)
 	if inner.AcceleratorsPerTask > outer.AcceleratorsPerTask {
 		return false
 	}
@@ -49,18 +49,18 @@
 	if inner.Tasks <= perTask {
 		return true
 	}
-	return inner.Tasks <= perTask*outer.Tasks && width(outer.Adjacency) <= width(inner.Adjacency)
+	return inner.Tasks <= perTask*outer.Tasks && adjacencyLevel(outer.Adjacency) <= adjacencyLevel(inner.Adjacency)
 }
 
-// normal writes a shape on one worker as one task.
-func normal(s job.Shape) job.Shape {
+// normalise writes a shape on one worker as one task.
+func normalise(s job.Shape) job.Shape {
 	if s.Adjacency == job.SameWorker {
 		return job.Shape{Tasks: 1, AcceleratorsPerTask: s.Accelerators(), Adjacency: job.SameWorker}
 	}
 	return s
 }
 
-func width(a job.Adjacency) int {
+func adjacencyLevel(a job.Adjacency) int {
 	switch a {
 	case job.SameWorker:
 		return 0
--- a/guarantee/guarantee_test.go
+++ b/guarantee/guarantee_test.go
@@ -23,7 +23,7 @@
 	return topology.NewCapacity(topology.NewCluster(ws))
 }
 
-func TestInside(t *testing.T) {
+func TestInsideRequiresRoomInEveryPlacement(t *testing.T) {
 	cases := []struct {
 		inner, outer job.Shape
 		want         bool
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestBackMatchesExhaustiveSearch packs random slots and compares with trying
+// TestPlanBackingMatchesExhaustiveSearch packs random slots and compares with trying
 // every placement of every task.
-func TestBackMatchesExhaustiveSearch(t *testing.T) {
+func TestPlanBackingMatchesExhaustiveSearch(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	adjacencies := []job.Adjacency{job.SameWorker, job.SameRack, job.SameFailureDomain}
 	backed := 0
@@ -59,25 +59,25 @@
 		must.Eq(t, want, len(p.UnbackedSlots()) == 0, must.Sprintf("%+v", gs))
 		if want {
 			backed++
-			checkPlaces(t, k.Clone(), b, p)
+			checkPlacements(t, k.Clone(), b, p)
 		}
 	}
 	must.Greater(t, 300, backed)
 }
 
-func checkPlaces(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
+func checkPlacements(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
 	for i, s := range b.Slots() {
-		place := p.Placement(i)
-		must.Len(t, s.Shape.Tasks, place)
-		for _, w := range place {
+		placement := p.Placement(i)
+		must.Len(t, s.Shape.Tasks, placement)
+		for _, w := range placement {
 			must.GreaterEq(t, s.Shape.AcceleratorsPerTask, k.Free(w))
 			k.Allocate(w, s.Shape.AcceleratorsPerTask)
-			must.True(t, near(k, s.Shape.Adjacency, w, place[0]))
+			must.True(t, adjacent(k, s.Shape.Adjacency, w, placement[0]))
 		}
 	}
 }
 
-func near(k *topology.Capacity, a job.Adjacency, x, y int) bool {
+func adjacent(k *topology.Capacity, a job.Adjacency, x, y int) bool {
 	return x == y || a == job.SameFailureDomain || a == job.SameRack && k.RackOf(x) == k.RackOf(y)
 }
 
@@ -86,17 +86,17 @@
 		return true
 	}
 	s := slots[0].Shape
-	var place func(chosen []int) bool
-	place = func(chosen []int) bool {
+	var placeTasks func(chosen []int) bool
+	placeTasks = func(chosen []int) bool {
 		if len(chosen) == s.Tasks {
 			return packs(k, slots[1:])
 		}
 		for w := range k.Len() {
-			if k.Free(w) < s.AcceleratorsPerTask || len(chosen) > 0 && !near(k, s.Adjacency, w, chosen[0]) {
+			if k.Free(w) < s.AcceleratorsPerTask || len(chosen) > 0 && !adjacent(k, s.Adjacency, w, chosen[0]) {
 				continue
 			}
 			k.Allocate(w, s.AcceleratorsPerTask)
-			ok := place(append(chosen, w))
+			ok := placeTasks(append(chosen, w))
 			k.ReleaseAll([]int{w}, s.AcceleratorsPerTask)
 			if ok {
 				return true
@@ -104,7 +104,7 @@
 		}
 		return false
 	}
-	return place(nil)
+	return placeTasks(nil)
 }
 
 // TestAssignmentMovesEarlierClaims: a claim gets a slot although an earlier one took
@@ -129,7 +129,7 @@
 	must.True(t, Claim{"a", shape(2, 8, job.SameRack), false}.Fits(s))
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseVictimsPicksCheapestNeededGangs(t *testing.T) {
 	cases := []struct {
 		name      string
 		size      int // accelerators of each of two workers
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -45,39 +45,39 @@
 	Cost      float64
 }
 
-// request is what a call of Choose looks for.
-type request struct {
-	room    *topology.Capacity
-	shape   job.Shape
-	avoid   topology.AvoidFunc
-	allowed func(borrower int) bool
+// searchRequest is what a call of Choose looks for.
+type searchRequest struct {
+	available *topology.Capacity
+	shape     job.Shape
+	avoid     topology.AvoidFunc
+	allowed   func(borrower int) bool
 }
 
-// region is a group of workers that count as adjacent.
-type region struct {
-	workers []int
-	has     func(w int) bool
+// workerGroup is a group of workers that count as adjacent.
+type workerGroup struct {
+	workers  []int
+	contains func(w int) bool
 }
 
 // ChooseVictims finds the place for a shape whose clearing costs least. Room counts
 // what is free or becoming free; it is changed during the call and restored.
 // Allowed reports which borrowers may be stopped.
-func (r *Reclaimer) ChooseVictims(room *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
-	q := request{room: room, shape: normal(s), avoid: avoid, allowed: allowed}
-	for _, g := range regions(room, s.Adjacency) {
-		if room.TaskCapacityIfEmpty(g.workers, q.shape) < q.shape.Tasks {
+func (r *Reclaimer) ChooseVictims(available *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
+	q := searchRequest{available: available, shape: normalise(s), avoid: avoid, allowed: allowed}
+	for _, g := range adjacentGroups(available, s.Adjacency) {
+		if available.TaskCapacityIfEmpty(g.workers, q.shape) < q.shape.Tasks {
 			continue
 		}
-		victims, enough := r.clear(q, g)
-		cost := r.cost(victims)
+		victims, enough := r.selectVictims(q, g)
+		cost := r.totalCost(victims)
 		if !enough || ok && cost >= best.Cost {
 			continue
 		}
 		ok = true
 		best = Choice{Victims: victims, Cost: cost}
-		r.give(room, victims)
-		best.Placement = room.FitWithin(g.workers, q.shape, avoid)
-		r.take(room, victims)
+		r.freeBorrowers(available, victims)
+		best.Placement = available.FitWithin(g.workers, q.shape, avoid)
+		r.occupyBorrowers(available, victims)
 	}
 	if ok && len(best.Placement) != s.Tasks {
 		best.Placement = slices.Repeat(best.Placement, s.Tasks)
@@ -85,111 +85,111 @@
 	return best, ok
 }
 
-// regions returns the groups of workers that count as adjacent.
-func regions(k *topology.Capacity, a job.Adjacency) []region {
-	var out []region
+// adjacentGroups returns the groups of workers that count as adjacent.
+func adjacentGroups(k *topology.Capacity, a job.Adjacency) []workerGroup {
+	var out []workerGroup
 	switch a {
 	case job.SameWorker:
 		for w := range k.Len() {
-			out = append(out, region{[]int{w}, func(x int) bool { return x == w }})
+			out = append(out, workerGroup{[]int{w}, func(x int) bool { return x == w }})
 		}
 	case job.SameRack:
 		for r := range k.RackCount() {
-			out = append(out, region{k.RackWorkers(r), func(x int) bool { return k.RackOf(x) == r }})
+			out = append(out, workerGroup{k.RackWorkers(r), func(x int) bool { return k.RackOf(x) == r }})
 		}
 	default:
 		all := make([]int, k.Len())
 		for w := range all {
 			all[w] = w
 		}
-		out = append(out, region{all, func(int) bool { return true }})
+		out = append(out, workerGroup{all, func(int) bool { return true }})
 	}
 	return out
 }
 
-// clear returns the borrowers to stop so that the region holds the shape:
+// selectVictims returns the borrowers to stop so that the region holds the shape:
 // cheapest per accelerator first, and none that is not needed. Not enough means
 // that stopping all of them does not do.
-func (r *Reclaimer) clear(q request, g region) (victims []int, enough bool) {
-	slots := q.room.TaskCapacity(g.workers, q.shape, q.avoid)
-	if slots >= q.shape.Tasks {
+func (r *Reclaimer) selectVictims(q searchRequest, g workerGroup) (victims []int, enough bool) {
+	tasks := q.available.TaskCapacity(g.workers, q.shape, q.avoid)
+	if tasks >= q.shape.Tasks {
 		return nil, true
 	}
 	for _, b := range r.candidates(q, g) {
-		if slots >= q.shape.Tasks {
+		if tasks >= q.shape.Tasks {
 			break
 		}
-		slots += r.gain(q, g, b)
+		tasks += r.freeBorrower(q, g, b)
 		victims = append(victims, b)
 	}
-	if slots < q.shape.Tasks {
-		r.take(q.room, victims)
+	if tasks < q.shape.Tasks {
+		r.occupyBorrowers(q.available, victims)
 		return nil, false
 	}
 	var needed []int
 	for _, b := range victims {
-		r.take(q.room, []int{b})
-		gain := r.gain(q, g, b)
-		if slots-gain >= q.shape.Tasks {
-			r.take(q.room, []int{b})
-			slots -= gain
+		r.occupyBorrowers(q.available, []int{b})
+		gain := r.freeBorrower(q, g, b)
+		if tasks-gain >= q.shape.Tasks {
+			r.occupyBorrowers(q.available, []int{b})
+			tasks -= gain
 			continue
 		}
 		needed = append(needed, b)
 	}
-	r.take(q.room, needed)
+	r.occupyBorrowers(q.available, needed)
 	return needed, true
 }
 
-// gain frees a borrower's accelerators and returns how many more of the
+// freeBorrower frees a borrower's accelerators and returns how many more of the
 // shape's tasks the region then takes.
-func (r *Reclaimer) gain(q request, g region, borrower int) int {
+func (r *Reclaimer) freeBorrower(q searchRequest, g workerGroup, borrower int) int {
 	b := r.borrowers[borrower]
 	gained := 0
 	for i := range b.Workers {
 		w := b.Workers[i]
-		if !g.has(w) {
-			q.room.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+		if !g.contains(w) {
+			q.available.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
 			continue
 		}
-		before := q.room.TaskCapacityOn(w, q.shape, q.avoid)
-		q.room.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
-		gained += q.room.TaskCapacityOn(w, q.shape, q.avoid) - before
+		before := q.available.TaskCapacityOn(w, q.shape, q.avoid)
+		q.available.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+		gained += q.available.TaskCapacityOn(w, q.shape, q.avoid) - before
 	}
 	return gained
 }
 
-// candidate is a borrower and its cost for each accelerator freed.
-type candidate struct {
-	borrower int
-	cost     float64
+// rankedBorrower is a borrower and its cost for each accelerator freed.
+type rankedBorrower struct {
+	borrower           int
+	costPerAccelerator float64
 }
 
 // candidates returns the borrowers on the workers of a region that could hold a
 // task, cheapest per accelerator first.
-func (r *Reclaimer) candidates(q request, g region) []int {
-	held := map[int]int{}
+func (r *Reclaimer) candidates(q searchRequest, g workerGroup) []int {
+	acceleratorsHeld := map[int]int{}
 	var out []int
 	for _, w := range g.workers {
-		if q.room.Worker(w).Accelerators < q.shape.AcceleratorsPerTask {
+		if q.available.Worker(w).Accelerators < q.shape.AcceleratorsPerTask {
 			continue
 		}
 		for _, b := range r.onWorker[w] {
 			if !q.allowed(b) {
 				continue
 			}
-			if held[b] == 0 {
+			if acceleratorsHeld[b] == 0 {
 				out = append(out, b)
 			}
-			held[b] += r.on(b, w)
+			acceleratorsHeld[b] += r.acceleratorsOn(b, w)
 		}
 	}
-	ranked := make([]candidate, len(out))
+	ranked := make([]rankedBorrower, len(out))
 	for i, b := range out {
-		ranked[i] = candidate{b, (r.borrowers[b].Cost + FixedStopCost) / float64(held[b])}
+		ranked[i] = rankedBorrower{b, (r.borrowers[b].Cost + FixedStopCost) / float64(acceleratorsHeld[b])}
 	}
-	slices.SortFunc(ranked, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.borrower, b.borrower))
+	slices.SortFunc(ranked, func(a, b rankedBorrower) int {
+		return cmp.Or(cmp.Compare(a.costPerAccelerator, b.costPerAccelerator), cmp.Compare(a.borrower, b.borrower))
 	})
 	for i, c := range ranked {
 		out[i] = c.borrower
@@ -197,8 +197,8 @@
 	return out
 }
 
-// on returns how many accelerators a borrower holds on a worker.
-func (r *Reclaimer) on(borrower, worker int) int {
+// acceleratorsOn returns how many accelerators a borrower holds acceleratorsOn a worker.
+func (r *Reclaimer) acceleratorsOn(borrower, worker int) int {
 	b := r.borrowers[borrower]
 	n := 0
 	for _, w := range b.Workers {
@@ -209,7 +209,7 @@
 	return n
 }
 
-func (r *Reclaimer) cost(victims []int) float64 {
+func (r *Reclaimer) totalCost(victims []int) float64 {
 	sum := 0.0
 	for _, v := range victims {
 		sum += r.borrowers[v].Cost + FixedStopCost
@@ -217,13 +217,13 @@
 	return sum
 }
 
-func (r *Reclaimer) give(k *topology.Capacity, victims []int) {
+func (r *Reclaimer) freeBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
 		k.ReleaseAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
 
-func (r *Reclaimer) take(k *topology.Capacity, victims []int) {
+func (r *Reclaimer) occupyBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
 		k.AllocateAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
--- a/placement/topology/capacity.go
+++ b/placement/topology/capacity.go
@@ -6,22 +6,22 @@
 // It is not safe for concurrent use.
 type Capacity struct {
 	*Cluster
-	free     []int // of each worker; negative while it runs more than it has
-	rackFree []int // sum over a rack's workers of what is free
-	total    int   // sum over all workers of what is free
-	tasks    []int // tasks on each worker, to spread those without accelerators
-	limit    []int // most that counts as free on each worker; nil: no limit
-	scratch  []int
+	free       []int // of each worker; negative while it runs more than it has
+	freeByRack []int // sum over a rack's workers of what is free
+	totalFree  int   // sum over all workers of what is free
+	tasks      []int // tasks on each worker, to spread those without accelerators
+	limit      []int // most that counts as free on each worker; nil: no limit
+	fillOrder  []int
 }
 
 // NewCapacity returns the capacity of a cluster on which nothing runs.
 // Unavailable workers have nothing free.
 func NewCapacity(c *Cluster) *Capacity {
 	k := &Capacity{
-		Cluster:  c,
-		free:     make([]int, c.Len()),
-		rackFree: make([]int, c.RackCount()),
-		tasks:    make([]int, c.Len()),
+		Cluster:    c,
+		free:       make([]int, c.Len()),
+		freeByRack: make([]int, c.RackCount()),
+		tasks:      make([]int, c.Len()),
 	}
 	for w, worker := range c.workers {
 		if !worker.Unavailable {
@@ -34,12 +34,12 @@
 // Clone returns a copy that shares nothing but the cluster.
 func (k *Capacity) Clone() *Capacity {
 	return &Capacity{
-		Cluster:  k.Cluster,
-		free:     slices.Clone(k.free),
-		rackFree: slices.Clone(k.rackFree),
-		total:    k.total,
-		tasks:    slices.Clone(k.tasks),
-		limit:    slices.Clone(k.limit),
+		Cluster:    k.Cluster,
+		free:       slices.Clone(k.free),
+		freeByRack: slices.Clone(k.freeByRack),
+		totalFree:  k.totalFree,
+		tasks:      slices.Clone(k.tasks),
+		limit:      slices.Clone(k.limit),
 	}
 }
 
@@ -47,15 +47,15 @@
 func (k *Capacity) LimitedTo(other *Capacity) *Capacity {
 	c := k.Clone()
 	c.limit = make([]int, c.Len())
-	c.total = 0
-	clear(c.rackFree)
+	c.totalFree = 0
+	clear(c.freeByRack)
 	for w := range c.free {
 		c.limit[w] = other.Free(w)
 		if k.limit != nil {
 			c.limit[w] = min(c.limit[w], k.limit[w])
 		}
-		c.rackFree[c.rackOf[w]] += c.Free(w)
-		c.total += c.Free(w)
+		c.freeByRack[c.rackOf[w]] += c.Free(w)
+		c.totalFree += c.Free(w)
 	}
 	return c
 }
@@ -70,7 +70,7 @@
 }
 
 // TotalFree returns the free accelerators of all workers.
-func (k *Capacity) TotalFree() int { return k.total }
+func (k *Capacity) TotalFree() int { return k.totalFree }
 
 // Allocate marks n accelerators of worker w as used. What an unavailable worker
 // runs does not count.
@@ -78,12 +78,12 @@
 	if k.workers[w].Unavailable {
 		return
 	}
-	k.change(w, -n)
+	k.adjustFree(w, -n)
 	k.tasks[w]++
 }
 
 // AddFree marks n accelerators of worker w as free.
-func (k *Capacity) AddFree(w, n int) { k.change(w, n) }
+func (k *Capacity) AddFree(w, n int) { k.adjustFree(w, n) }
 
 // AllocateAll takes n accelerators on each of the workers, once for each mention.
 func (k *Capacity) AllocateAll(workers []int, n int) {
@@ -98,15 +98,15 @@
 		if k.workers[w].Unavailable {
 			continue
 		}
-		k.change(w, n)
+		k.adjustFree(w, n)
 		k.tasks[w]--
 	}
 }
 
-func (k *Capacity) change(w, n int) {
+func (k *Capacity) adjustFree(w, n int) {
 	old := k.Free(w)
 	k.free[w] += n
 	delta := k.Free(w) - old
-	k.rackFree[k.rackOf[w]] += delta
-	k.total += delta
+	k.freeByRack[k.rackOf[w]] += delta
+	k.totalFree += delta
 }
--- a/placement/topology/fit.go
+++ b/placement/topology/fit.go
@@ -13,7 +13,7 @@
 // each task, or nil. It takes the tightest place, so that whole workers and
 // whole racks stay whole.
 func (k *Capacity) Fit(s job.Shape, avoid AvoidFunc) []int {
-	if s.Tasks <= 0 || s.Accelerators() > k.total {
+	if s.Tasks <= 0 || s.Accelerators() > k.totalFree {
 		return nil
 	}
 	switch s.Adjacency {
@@ -32,17 +32,17 @@
 	if k.TaskCapacity(workers, s, avoid) < s.Tasks {
 		return nil
 	}
-	return k.fill(workers, s, avoid)
+	return k.fillWorkers(workers, s, avoid)
 }
 
 func (k *Capacity) fitWorker(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
-		if k.rackFree[r] < s.Accelerators() {
+		if k.freeByRack[r] < s.Accelerators() {
 			continue
 		}
 		for _, w := range rack {
-			if k.usable(w, avoid) && k.Free(w) >= s.Accelerators() && (best < 0 || k.tighter(w, best)) {
+			if k.usable(w, avoid) && k.Free(w) >= s.Accelerators() && (best < 0 || k.tighterFit(w, best)) {
 				best = w
 			}
 		}
@@ -53,13 +53,13 @@
 	return slices.Repeat([]int{best}, s.Tasks)
 }
 
-// tighter prefers the worker with less free, then the one in the fuller rack,
+// tighterFit prefers the worker with less free, then the one in the fuller rack,
 // then the one with fewer tasks.
-func (k *Capacity) tighter(a, b int) bool {
+func (k *Capacity) tighterFit(a, b int) bool {
 	if k.Free(a) != k.Free(b) {
 		return k.Free(a) < k.Free(b)
 	}
-	if ra, rb := k.rackFree[k.rackOf[a]], k.rackFree[k.rackOf[b]]; ra != rb {
+	if ra, rb := k.freeByRack[k.rackOf[a]], k.freeByRack[k.rackOf[b]]; ra != rb {
 		return ra < rb
 	}
 	return k.tasks[a] < k.tasks[b]
@@ -68,7 +68,7 @@
 func (k *Capacity) fitRack(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
-		if k.rackFree[r] < s.Accelerators() || best >= 0 && k.rackFree[r] >= k.rackFree[best] {
+		if k.freeByRack[r] < s.Accelerators() || best >= 0 && k.freeByRack[r] >= k.freeByRack[best] {
 			continue
 		}
 		if k.TaskCapacity(rack, s, avoid) >= s.Tasks {
@@ -78,27 +78,27 @@
 	if best < 0 {
 		return nil
 	}
-	return k.fill(k.racks[best], s, avoid)
+	return k.fillWorkers(k.racks[best], s, avoid)
 }
 
 func (k *Capacity) fitAnywhere(s job.Shape, avoid AvoidFunc) []int {
 	racks := make([]int, 0, len(k.racks))
-	slots := 0
+	taskCapacity := 0
 	for r, rack := range k.racks {
 		if n := k.TaskCapacity(rack, s, avoid); n > 0 {
 			racks = append(racks, r)
-			slots += n
+			taskCapacity += n
 		}
 	}
-	if slots < s.Tasks {
+	if taskCapacity < s.Tasks {
 		return nil
 	}
-	slices.SortStableFunc(racks, func(a, b int) int { return k.rackFree[a] - k.rackFree[b] })
+	slices.SortStableFunc(racks, func(a, b int) int { return k.freeByRack[a] - k.freeByRack[b] })
 	left := s
 	var out []int
 	for _, r := range racks {
 		left.Tasks = min(s.Tasks-len(out), k.TaskCapacity(k.racks[r], s, avoid))
-		out = append(out, k.fill(k.racks[r], left, avoid)...)
+		out = append(out, k.fillWorkers(k.racks[r], left, avoid)...)
 		if len(out) == s.Tasks {
 			break
 		}
@@ -106,17 +106,17 @@
 	return out
 }
 
-// fill places a shape's tasks on workers that are known to have room.
-func (k *Capacity) fill(workers []int, s job.Shape, avoid AvoidFunc) []int {
-	order := k.scratch[:0]
+// fillWorkers places a shape's tasks on workers that are known to have room.
+func (k *Capacity) fillWorkers(workers []int, s job.Shape, avoid AvoidFunc) []int {
+	order := k.fillOrder[:0]
 	for _, w := range workers {
 		if k.TaskCapacityOn(w, s, avoid) > 0 {
 			order = append(order, w)
 		}
 	}
-	k.scratch = order
+	k.fillOrder = order
 	if s.AcceleratorsPerTask == 0 {
-		return k.spread(order, s.Tasks)
+		return k.spreadTasks(order, s.Tasks)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return k.Free(a) - k.Free(b) })
 	out := make([]int, 0, s.Tasks)
@@ -129,8 +129,8 @@
 	return out
 }
 
-// spread deals tasks without accelerators to the workers with fewest tasks.
-func (k *Capacity) spread(workers []int, tasks int) []int {
+// spreadTasks deals tasks without accelerators to the workers with fewest tasks.
+func (k *Capacity) spreadTasks(workers []int, tasks int) []int {
 	slices.SortStableFunc(workers, func(a, b int) int { return k.tasks[a] - k.tasks[b] })
 	out := make([]int, tasks)
 	for i := range out {
