--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -13,13 +13,13 @@
 	Shape        job.Shape
 }
 
-// Assignment assigns claims to slots, at most one to each.
+// Assignment maps claims to slots, at most one claim to each slot.
 type Assignment struct {
 	slots       []Slot
 	claims      []Claim
-	claimBySlot []int            // claim that uses each slot; unused: -1
-	byOrg       map[string][]int // slots of each organisation, smallest first
-	unusedCount map[string]int   // unused slots of each organisation
+	claimBySlot []int            // index in claims of the claim that uses each slot; noClaim if unused
+	byOrg       map[string][]int // indices of each organisation's slots, smallest shape first
+	unusedCount map[string]int   // number of unused slots of each organisation
 }
 
 const noClaim = -1
@@ -56,14 +56,14 @@
 // Unused reports whether no claim uses the slot.
 func (b *Assignment) Unused(slot int) bool { return b.claimBySlot[slot] == noClaim }
 
-// FindSlot returns the slot that would no longer be unused if the claim were
-// added, without adding it. Earlier claims keep a slot, perhaps another one.
+// FindSlot returns the slot that would become used if the claim were added,
+// without adding it. Earlier claims keep a slot, though not always the same one.
 func (b *Assignment) FindSlot(c Claim) (slot int, ok bool) {
 	return b.augment(c, nil)
 }
 
-// AddClaim adds a claim and returns the slot that is no longer unused, if its
-// organisation has one for it.
+// AddClaim adds a claim and returns the slot that became used. It adds nothing
+// and returns false if the organisation has no slot for the claim.
 func (b *Assignment) AddClaim(c Claim) (slot int, ok bool) {
 	b.claims = append(b.claims, c)
 	slot, ok = b.augment(c, b.setClaim)
@@ -77,9 +77,9 @@
 
 func (b *Assignment) setClaim(slot, claim int) { b.claimBySlot[slot] = claim }
 
-// augment searches an augmenting path from the claim to an unused slot, and calls
-// assign for each slot on it. So a claim is turned down only when no way of
-// sharing out the slots serves it beside the earlier ones.
+// augment searches for an augmenting path from the claim to an unused slot, and
+// calls assign, if not nil, for each slot on the path. It fails only if no
+// assignment of slots serves the claim together with all earlier ones.
 func (b *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
 	if b.unusedCount[c.Organisation] == 0 {
 		return 0, false
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -8,25 +8,27 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// maxSearchSteps bounds the search for a backing plan after the quick orders
-// have failed.
+// maxSearchSteps bounds the exhaustive search for a backing plan, which follows
+// when the greedy orders have failed.
 const maxSearchSteps = 20_000
 
-// Backing gives unused slots concrete adjacent accelerators, no two the same.
+// Backing assigns adjacent accelerators to unused slots; no accelerator backs
+// two slots.
 type Backing struct {
-	placements map[int][]int // worker of each task of each backed slot
-	unbacked   []int         // slots without accelerators
+	placements map[int][]int // worker of each task, by backed slot
+	unbacked   []int         // slots that have no accelerators
 }
 
-// Placement returns the worker of each task of a slot, nil if it has none.
+// Placement returns the worker of each task of a slot, or nil if the slot is
+// not backed.
 func (b *Backing) Placement(slot int) []int { return b.placements[slot] }
 
 // UnbackedSlots returns the slots that have no accelerators.
 func (b *Backing) UnbackedSlots() []int { return b.unbacked }
 
-// PlanBacking makes a backing plan for the given slots of an assignment. The capacity is what
-// non-reclaimable work leaves; it is not changed. When not all slots can be
-// backed, the plan backs as many as the best order found does.
+// PlanBacking assigns accelerators to the given slots. The capacity k is what
+// non-reclaimable work leaves free; it is not changed. If no plan is found that
+// backs all slots, the result is that of the greedy order that backs the most.
 func (b *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
 	best := b.packGreedily(k, slots, hardestFirst)
 	for _, order := range []slotOrder{largestFirst, racksFirst} {
@@ -46,7 +48,7 @@
 	return best
 }
 
-// UnusedSlots returns the slots that no claim uses, without the one given.
+// UnusedSlots returns the slots that no claim uses, except the given one.
 func (b *Assignment) UnusedSlots(without int) []int {
 	var out []int
 	for s := range b.slots {
@@ -65,10 +67,12 @@
 	return n
 }
 
-// slotOrder compares the shapes of two slots: the lesser is backed first.
+// slotOrder compares the shapes of two slots; the slot that sorts first is
+// backed first.
 type slotOrder func(a, b job.Shape) int
 
-// hardestFirst puts large tasks before small, then near before wide.
+// hardestFirst sorts by accelerators per task, largest first, then by adjacency,
+// closest first, then by number of tasks, most first.
 func hardestFirst(a, b job.Shape) int {
 	a, b = normalise(a), normalise(b)
 	return cmp.Or(
@@ -78,12 +82,13 @@
 	)
 }
 
-// largestFirst puts large shapes before small.
+// largestFirst sorts by the accelerators of the whole shape, most first.
 func largestFirst(a, b job.Shape) int {
 	return cmp.Or(cmp.Compare(b.Accelerators(), a.Accelerators()), hardestFirst(a, b))
 }
 
-// racksFirst puts racks before workers, and both before the failure domain.
+// racksFirst sorts shapes within one rack before those on one worker, and both
+// before those that may span the failure domain.
 func racksFirst(a, b job.Shape) int {
 	order := [...]int{1, 0, 2}
 	return cmp.Or(
@@ -92,6 +97,7 @@
 	)
 }
 
+// packGreedily backs the slots one at a time in the given order.
 func (b *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
 	k = k.Clone()
 	p := &Backing{placements: make(map[int][]int, len(slots))}
@@ -114,8 +120,8 @@
 	return slots
 }
 
-// packExhaustively tries every way to back all slots, task by task, until it has taken
-// searchSteps. It returns nil when it found none.
+// packExhaustively tries every way to back all slots, task by task, for at most
+// maxSearchSteps steps. It returns nil if it finds none.
 func (b *Assignment) packExhaustively(k *topology.Capacity, slots []int) *Backing {
 	s := &searcher{k: k.Clone(), stepsLeft: maxSearchSteps}
 	order := b.sorted(slots, hardestFirst)
@@ -136,7 +142,7 @@
 	return p
 }
 
-// searcher is a depth-first search over the places of tasks.
+// searcher is a depth-first search over the placements of tasks.
 type searcher struct {
 	k          *topology.Capacity
 	shapes     []job.Shape
@@ -144,7 +150,8 @@
 	stepsLeft  int
 }
 
-// placeShape places the tasks of shape i and of those after it.
+// placeShape places the tasks of shape i and of all later shapes. It reports
+// whether that succeeded.
 func (s *searcher) placeShape(i int) bool {
 	if i == len(s.shapes) {
 		return true
@@ -161,8 +168,9 @@
 	return false
 }
 
-// placeTask places the next placeTask of shape i on a worker from first up to end. Tasks
-// are equal, so they go in the order of workers.
+// placeTask places the next task of shape i on a worker from first to end-1,
+// then all that follow. The tasks of a shape are equal, so it only tries them in
+// the order of workers.
 func (s *searcher) placeTask(i, first, end int) bool {
 	shape := s.shapes[i]
 	if len(s.placements[i]) == shape.Tasks {
--- a/guarantee/guarantee.go
+++ b/guarantee/guarantee.go
@@ -1,33 +1,36 @@
 // Package guarantee decides which accelerators back each organisation's
-// guaranteed shapes, which gangs count against them, and whom to reclaim from.
-// Its decisions are pure.
+// guaranteed shapes, which gangs count against those shapes, and which other
+// gangs to stop when a waiting gang needs their accelerators. Its results depend
+// only on its arguments, and it keeps no state between decisions. Package
+// placement calls it within each scheduling decision.
 package guarantee
 
 import (
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// Guarantee promises an organisation Count copies of a shape.
+// Guarantee entitles an organisation to Count copies of a shape.
 type Guarantee struct {
 	Organisation string
 	Shape        job.Shape
 	Count        int
 }
 
-// Claim is a gang that may count against its organisation's guarantee.
+// Claim describes a gang that may count against its organisation's guarantee.
 type Claim struct {
 	Organisation string
 	Shape        job.Shape
 	Urgent       bool
 }
 
-// minFillDivisor is the inverse of the share of a guaranteed shape that a gang
-// must fill to count against it, unless it is urgent.
+// minFillDivisor is the inverse of the smallest share of a guaranteed shape's
+// accelerators that a gang must use to count against it: 2 means half. Urgent
+// gangs are exempt.
 const minFillDivisor = 2
 
-// Fits reports whether a claim may use one copy of a guaranteed shape: it fits
-// inside, and is urgent or fills at least half. Smaller gangs would use up
-// shapes that were promised for large ones.
+// Fits reports whether a claim may use one copy of a guaranteed shape: it must
+// fit inside the shape, and be urgent or use at least half of it. Otherwise
+// small gangs would use up shapes that are guaranteed for large ones.
 func (c Claim) Fits(s job.Shape) bool {
 	if c.Shape.Accelerators() == 0 || !Inside(c.Shape, s) {
 		return false
@@ -35,8 +38,8 @@
 	return c.Urgent || minFillDivisor*c.Shape.Accelerators() >= s.Accelerators()
 }
 
-// Inside reports whether a gang of the inner shape runs on the accelerators of
-// any placement of the outer shape.
+// Inside reports whether every placement of the outer shape has room for a gang
+// of the inner shape.
 func Inside(inner, outer job.Shape) bool {
 	inner, outer = normalise(inner), normalise(outer)
 	if inner.AcceleratorsPerTask > outer.AcceleratorsPerTask {
@@ -52,7 +55,8 @@
 	return inner.Tasks <= perTask*outer.Tasks && adjacencyLevel(outer.Adjacency) <= adjacencyLevel(inner.Adjacency)
 }
 
-// normalise writes a shape on one worker as one task.
+// normalise returns a shape with adjacency SameWorker as a single task that
+// needs all of its accelerators, and any other shape unchanged.
 func normalise(s job.Shape) job.Shape {
 	if s.Adjacency == job.SameWorker {
 		return job.Shape{Tasks: 1, AcceleratorsPerTask: s.Accelerators(), Adjacency: job.SameWorker}
@@ -60,6 +64,8 @@
 	return s
 }
 
+// adjacencyLevel numbers the adjacencies: 0 for one worker, 1 for one rack, 2
+// for one failure domain.
 func adjacencyLevel(a job.Adjacency) int {
 	switch a {
 	case job.SameWorker:
--- a/guarantee/guarantee_test.go
+++ b/guarantee/guarantee_test.go
@@ -31,7 +31,7 @@
 		{shape(2, 4, job.SameRack), shape(2, 4, job.SameRack), true},
 		{shape(4, 2, job.SameRack), shape(2, 4, job.SameRack), true},
 		{shape(2, 4, job.SameRack), shape(4, 2, job.SameRack), false},           // a task may be split over workers
-		{shape(2, 4, job.SameRack), shape(2, 4, job.SameFailureDomain), false},  // the place may span racks
+		{shape(2, 4, job.SameRack), shape(2, 4, job.SameFailureDomain), false},  // the outer placement may span racks
 		{shape(2, 2, job.SameWorker), shape(9, 4, job.SameFailureDomain), true}, // within one task's worker
 		{shape(2, 3, job.SameRack), shape(3, 2, job.SameWorker), true},          // all on one worker
 		{shape(3, 3, job.SameFailureDomain), shape(2, 4, job.SameRack), false},
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPlanBackingMatchesExhaustiveSearch packs random slots and compares with trying
-// every placement of every task.
+// TestPlanBackingMatchesExhaustiveSearch backs random slots and compares the
+// result with trying every placement of every task.
 func TestPlanBackingMatchesExhaustiveSearch(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	adjacencies := []job.Adjacency{job.SameWorker, job.SameRack, job.SameFailureDomain}
@@ -107,8 +107,9 @@
 	return placeTasks(nil)
 }
 
-// TestAssignmentMovesEarlierClaims: a claim gets a slot although an earlier one took
-// the only slot that fits it, since that one fits another.
+// TestAssignmentMovesEarlierClaims checks that a claim gets a slot although an
+// earlier claim took the only one that fits it, since the earlier claim can move
+// to another slot.
 func TestAssignmentMovesEarlierClaims(t *testing.T) {
 	small, large := shape(1, 4, job.SameWorker), shape(2, 3, job.SameFailureDomain)
 	b := NewAssignment([]Guarantee{{"a", small, 1}, {"a", large, 1}})
@@ -138,8 +139,8 @@
 	}{
 		{"least lost work", 4, []Borrower{{[]int{0, 0}, 2, 9000}, {[]int{1, 1}, 2, 100}}, []int{1}},
 		{"fewest gangs", 4, []Borrower{{[]int{0}, 2, 100}, {[]int{0}, 2, 100}, {[]int{1, 1}, 2, 100}}, []int{2}},
-		{"none that is not needed", 8, []Borrower{{[]int{0}, 2, 0}, {[]int{0}, 6, 3000}, {[]int{1}, 8, 90000}}, []int{1}},
-		{"nobody where it is free", 4, []Borrower{{[]int{0, 0}, 2, 0}}, nil},
+		{"only needed gangs", 8, []Borrower{{[]int{0}, 2, 0}, {[]int{0}, 6, 3000}, {[]int{1}, 8, 90000}}, []int{1}},
+		{"no gang where enough is free", 4, []Borrower{{[]int{0, 0}, 2, 0}}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -8,21 +8,22 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Borrower is a running gang outside any guarantee.
+// Borrower is a running gang that does not count against a guarantee and so may
+// be stopped.
 type Borrower struct {
-	Workers             []int // worker of each task; those no longer known are left out
+	Workers             []int // worker of each task, without workers that have left the cluster
 	AcceleratorsPerTask int
-	Cost                float64 // accelerator-seconds lost if it is stopped, weighed for fairness
+	Cost                float64 // accelerator-seconds lost if it is stopped, weighted for fairness
 }
 
-// FixedStopCost is what stopping one more gang counts for, whatever its size, in
-// accelerator-seconds.
+// FixedStopCost is the part of the cost of stopping a gang that does not depend
+// on its size, in accelerator-seconds.
 const FixedStopCost = 600.0
 
-// Reclaimer chooses which borrowers to stop for a waiting gang.
+// Reclaimer chooses the borrowers to stop for a waiting gang.
 type Reclaimer struct {
 	borrowers []Borrower
-	onWorker  [][]int // borrowers with tasks on each worker
+	onWorker  [][]int // indices of the borrowers with tasks on each worker
 }
 
 // NewReclaimer returns a reclaimer that chooses among the given borrowers.
@@ -38,14 +39,15 @@
 	return r
 }
 
-// Choice tells whom to stop, and where the waiting gang then goes.
+// Choice is the result of ChooseVictims: the borrowers to stop and the placement
+// of the waiting gang after that.
 type Choice struct {
-	Victims   []int // borrowers, by position
+	Victims   []int // indices of the borrowers to stop
 	Placement []int // worker of each task
 	Cost      float64
 }
 
-// searchRequest is what a call of Choose looks for.
+// searchRequest holds the arguments of one call of ChooseVictims.
 type searchRequest struct {
 	available *topology.Capacity
 	shape     job.Shape
@@ -53,15 +55,16 @@
 	allowed   func(borrower int) bool
 }
 
-// workerGroup is a group of workers that count as adjacent.
+// workerGroup is a set of workers on which a gang's tasks count as adjacent.
 type workerGroup struct {
 	workers  []int
 	contains func(w int) bool
 }
 
-// ChooseVictims finds the place for a shape whose clearing costs least. Room counts
-// what is free or becoming free; it is changed during the call and restored.
-// Allowed reports which borrowers may be stopped.
+// ChooseVictims finds the placement for a shape for which stopping borrowers
+// costs least. The capacity available counts accelerators that are free or about
+// to be freed; it is changed during the call and restored. The function allowed
+// reports which borrowers may be stopped.
 func (r *Reclaimer) ChooseVictims(available *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
 	q := searchRequest{available: available, shape: normalise(s), avoid: avoid, allowed: allowed}
 	for _, g := range adjacentGroups(available, s.Adjacency) {
@@ -85,7 +88,7 @@
 	return best, ok
 }
 
-// adjacentGroups returns the groups of workers that count as adjacent.
+// adjacentGroups returns the sets of workers that satisfy an adjacency.
 func adjacentGroups(k *topology.Capacity, a job.Adjacency) []workerGroup {
 	var out []workerGroup
 	switch a {
@@ -107,9 +110,10 @@
 	return out
 }
 
-// selectVictims returns the borrowers to stop so that the region holds the shape:
-// cheapest per accelerator first, and none that is not needed. Not enough means
-// that stopping all of them does not do.
+// selectVictims returns the borrowers to stop so that the group has room for the
+// shape. It takes the cheapest per accelerator first and then drops those that
+// turn out not to be needed. It returns enough = false if stopping all allowed
+// borrowers would not make enough room.
 func (r *Reclaimer) selectVictims(q searchRequest, g workerGroup) (victims []int, enough bool) {
 	tasks := q.available.TaskCapacity(g.workers, q.shape, q.avoid)
 	if tasks >= q.shape.Tasks {
@@ -141,8 +145,8 @@
 	return needed, true
 }
 
-// freeBorrower frees a borrower's accelerators and returns how many more of the
-// shape's tasks the region then takes.
+// freeBorrower marks a borrower's accelerators as free and returns how many more
+// of the shape's tasks the group then has room for.
 func (r *Reclaimer) freeBorrower(q searchRequest, g workerGroup, borrower int) int {
 	b := r.borrowers[borrower]
 	gained := 0
@@ -165,8 +169,8 @@
 	costPerAccelerator float64
 }
 
-// candidates returns the borrowers on the workers of a region that could hold a
-// task, cheapest per accelerator first.
+// candidates returns the borrowers on those workers of the group that are large
+// enough for a task, cheapest per accelerator first.
 func (r *Reclaimer) candidates(q searchRequest, g workerGroup) []int {
 	acceleratorsHeld := map[int]int{}
 	var out []int
@@ -197,7 +201,7 @@
 	return out
 }
 
-// acceleratorsOn returns how many accelerators a borrower holds acceleratorsOn a worker.
+// acceleratorsOn returns how many accelerators a borrower uses on a worker.
 func (r *Reclaimer) acceleratorsOn(borrower, worker int) int {
 	b := r.borrowers[borrower]
 	n := 0
@@ -217,12 +221,14 @@
 	return sum
 }
 
+// freeBorrowers marks the accelerators of the given borrowers as free.
 func (r *Reclaimer) freeBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
 		k.ReleaseAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
 
+// occupyBorrowers undoes freeBorrowers.
 func (r *Reclaimer) occupyBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
 		k.AllocateAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
--- a/job/job.go
+++ b/job/job.go
@@ -1,13 +1,14 @@
-// Package job holds the messages that describe jobs: their shapes, identities
-// and states. It has no behaviour beyond simple checks on its own values.
+// Package job defines the messages that describe jobs: shapes, identities,
+// states and ledger records. It holds no state and only checks and updates its
+// own values. Intake, the schedulers, placement and the ledgers use it.
 package job
 
 import "time"
 
-// Adjacency says how near to each other a gang's tasks must run.
+// Adjacency is how close to each other a gang's tasks must run.
 type Adjacency string
 
-// The adjacencies, nearest first.
+// The adjacencies, closest first.
 const (
 	SameWorker        Adjacency = "worker"
 	SameRack          Adjacency = "rack"
@@ -22,7 +23,8 @@
 // MaxGangTasks is the largest number of tasks in one gang.
 const MaxGangTasks = 64
 
-// Shape is what a gang occupies: equal tasks on adjacent accelerators.
+// Shape describes the accelerators that a gang occupies: equal tasks on
+// adjacent accelerators.
 type Shape struct {
 	Tasks               int       `json:"tasks"`
 	AcceleratorsPerTask int       `json:"acceleratorsPerTask"`
@@ -32,8 +34,8 @@
 // Accelerators returns the number of accelerators the whole shape occupies.
 func (s Shape) Accelerators() int { return s.Tasks * s.AcceleratorsPerTask }
 
-// ID identifies a job. The caller chooses Name; a repeated submission under
-// the same ID finds the first one.
+// ID identifies a job. The caller chooses Name. Submission is idempotent: a
+// repeated submission under the same ID finds the first one.
 type ID struct {
 	Organisation string `json:"organisation"`
 	Service      string `json:"service"`
@@ -43,11 +45,11 @@
 // String returns the ID as organisation/service/name.
 func (id ID) String() string { return id.Organisation + "/" + id.Service + "/" + id.Name }
 
-// State is a job's stage of life.
+// State is a job's lifecycle state.
 type State string
 
-// The states of a job. Placed means that a gang generation was recorded and
-// may run; Running that every task was seen to run.
+// The states of a job. In Placed a gang generation is recorded and may run; in
+// Running every task has been seen running.
 const (
 	Queued    State = "queued"
 	Placed    State = "placed"
@@ -71,55 +73,57 @@
 	return false
 }
 
-// Transition is one change of a job's state, kept for callers.
+// Transition is one change of a job's state, recorded for callers.
 type Transition struct {
 	At     time.Time `json:"at"`
 	State  State     `json:"state"`
 	Reason string    `json:"reason,omitempty"`
 }
 
-// MaxTransitions is the most transitions that a record keeps, newest last.
+// MaxTransitions is the largest number of transitions in a record's history.
+// Older ones are dropped; the newest is last.
 const MaxTransitions = 12
 
-// Spec is what a caller submits.
+// Spec is a job as its caller submits it.
 type Spec struct {
 	ID            ID            `json:"id"`
 	Template      string        `json:"template"` // name of the job template in the service document
 	Shape         Shape         `json:"shape"`
 	Urgent        bool          `json:"urgent,omitempty"`
-	DeclaredRun   time.Duration `json:"declaredRunNanos"` // expected run time; often far off
+	DeclaredRun   time.Duration `json:"declaredRunNanos"` // run time that the caller expects; often far off
 	Checkpoint    bool          `json:"checkpoint,omitempty"`
-	FailureDomain string        `json:"failureDomain,omitempty"` // empty: chosen at intake
+	FailureDomain string        `json:"failureDomain,omitempty"` // empty: intake chooses one
 }
 
-// Record is a job as kept in a failure domain's ledger.
+// Record is a job as stored in a failure domain's ledger.
 type Record struct {
 	Spec          Spec      `json:"spec"`
 	Team          string    `json:"team"`
-	FailureDomain string    `json:"failureDomain"` // whose scheduler has the job
+	FailureDomain string    `json:"failureDomain"` // failure domain whose scheduler is responsible for the job
 	State         State     `json:"state"`
-	Reason        string    `json:"reason,omitempty"` // why it waits, stopped or failed, for callers
+	Reason        string    `json:"reason,omitempty"` // why the job waits, stopped or failed; shown to callers
 	Generation    uint64    `json:"generation,omitempty"`
 	Workers       []string  `json:"workers,omitempty"` // worker of each task, by task index
 	Submitted     time.Time `json:"submitted"`
 	Started       time.Time `json:"started,omitzero"`
 	Ended         time.Time `json:"ended,omitzero"`
 	Failures      int       `json:"failures,omitempty"` // runs that ended in failure, on any worker
-	CancelBy      string    `json:"cancelBy,omitempty"` // set when a caller or a retirement asked for the end
+	CancelBy      string    `json:"cancelBy,omitempty"` // caller or retirement that requested cancellation; empty: none
 
-	Term         uint64       `json:"term,omitempty"`        // scheduler's term that placed this generation
+	Term         uint64       `json:"term,omitempty"`        // term of the scheduler that placed this generation
 	Guaranteed   bool         `json:"guaranteed,omitempty"`  // placed under its organisation's guarantee
-	Checkpointed time.Time    `json:"checkpointed,omitzero"` // newest saved work of any run
+	Checkpointed time.Time    `json:"checkpointed,omitzero"` // time of the newest checkpoint of any run
 	Avoid        []string     `json:"avoid,omitempty"`       // workers on which a run failed
-	MovedTo      string       `json:"movedTo,omitempty"`     // failure domain whose ledger has the job now
+	MovedTo      string       `json:"movedTo,omitempty"`     // failure domain whose ledger now holds the job
 	Arrived      bool         `json:"arrived,omitempty"`     // the move to MovedTo is complete
 	Moves        int          `json:"moves,omitempty"`       // moves between failure domains so far
 	TraceParent  string       `json:"traceParent,omitempty"` // W3C trace context of the submission; empty: not traced
 	History      []Transition `json:"history,omitempty"`     // at most MaxTransitions, oldest first
 }
 
-// SetState moves the record to a state and notes it in the history. It never
-// writes to the old history's array, which other copies may share.
+// SetState sets the record's state and reason and appends the transition to its
+// history. It sets Ended when the state is terminal. It never writes to the old
+// history's array, which copies of the record may share.
 func (r *Record) SetState(state State, reason string, now time.Time) {
 	r.State = state
 	r.Reason = reason
--- a/placement/topology/capacity.go
+++ b/placement/topology/capacity.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Capacity counts the free accelerators of a cluster's workers and racks.
+// Capacity counts the free accelerators of each worker and rack of a cluster.
 // It is not safe for concurrent use.
 type Capacity struct {
 	*Cluster
-	free       []int // of each worker; negative while it runs more than it has
-	freeByRack []int // sum over a rack's workers of what is free
-	totalFree  int   // sum over all workers of what is free
-	tasks      []int // tasks on each worker, to spread those without accelerators
-	limit      []int // most that counts as free on each worker; nil: no limit
-	fillOrder  []int
+	free       []int // free accelerators of each worker; negative while its tasks use more than it has
+	freeByRack []int // sum of Free over the workers of each rack
+	totalFree  int   // sum of Free over all workers
+	tasks      []int // number of tasks on each worker, to spread tasks without accelerators
+	limit      []int // upper bound of Free for each worker; nil: no limit
+	fillOrder  []int // buffer of fillWorkers, reused between calls
 }
 
 // NewCapacity returns the capacity of a cluster on which nothing runs.
@@ -31,7 +31,7 @@
 	return k
 }
 
-// Clone returns a copy that shares nothing but the cluster.
+// Clone returns a copy that shares only the cluster.
 func (k *Capacity) Clone() *Capacity {
 	return &Capacity{
 		Cluster:    k.Cluster,
@@ -43,7 +43,8 @@
 	}
 }
 
-// LimitedTo returns a copy in which no worker has more free than in other.
+// LimitedTo returns a copy in which no worker has more free accelerators than it
+// has in other.
 func (k *Capacity) LimitedTo(other *Capacity) *Capacity {
 	c := k.Clone()
 	c.limit = make([]int, c.Len())
@@ -72,8 +73,8 @@
 // TotalFree returns the free accelerators of all workers.
 func (k *Capacity) TotalFree() int { return k.totalFree }
 
-// Allocate marks n accelerators of worker w as used. What an unavailable worker
-// runs does not count.
+// Allocate marks n accelerators of worker w as used by one more task. It does
+// nothing for an unavailable worker.
 func (k *Capacity) Allocate(w, n int) {
 	if k.workers[w].Unavailable {
 		return
@@ -82,17 +83,18 @@
 	k.tasks[w]++
 }
 
-// AddFree marks n accelerators of worker w as free.
+// AddFree marks n accelerators of worker w as free without removing a task.
 func (k *Capacity) AddFree(w, n int) { k.adjustFree(w, n) }
 
-// AllocateAll takes n accelerators on each of the workers, once for each mention.
+// AllocateAll allocates n accelerators for each element of workers, so a worker
+// that is listed several times gets as many tasks.
 func (k *Capacity) AllocateAll(workers []int, n int) {
 	for _, w := range workers {
 		k.Allocate(w, n)
 	}
 }
 
-// ReleaseAll undoes TakeAll.
+// ReleaseAll undoes AllocateAll.
 func (k *Capacity) ReleaseAll(workers []int, n int) {
 	for _, w := range workers {
 		if k.workers[w].Unavailable {
--- a/placement/topology/cluster.go
+++ b/placement/topology/cluster.go
@@ -1,5 +1,7 @@
-// Package topology indexes the workers of one failure domain by rack and keeps
-// count of their free accelerators. It finds adjacent accelerators for a shape.
+// Package topology indexes the workers of one failure domain by rack, counts
+// their free accelerators and finds adjacent free accelerators for a shape. It
+// holds only the workers and counts that its callers pass in. Packages placement
+// and guarantee build and use it within each scheduling decision.
 package topology
 
 import (
@@ -17,8 +19,9 @@
 	Unavailable  bool // takes no new tasks
 }
 
-// Cluster is an immutable index of workers. Workers and racks are known by
-// their position in name order, so that equal inputs give equal decisions.
+// Cluster is an immutable index of workers. Workers and racks are identified by
+// their position when sorted by rack and name, so that equal inputs give equal
+// decisions.
 type Cluster struct {
 	workers []Worker
 	rackOf  []int   // rack of each worker
@@ -26,7 +29,7 @@
 	byName  map[string]int
 }
 
-// NewCluster indexes workers; the order in which they come does not matter.
+// NewCluster indexes workers; their order in the argument does not matter.
 func NewCluster(workers []Worker) *Cluster {
 	c := &Cluster{
 		workers: slices.Clone(workers),
@@ -52,7 +55,7 @@
 	return cmp.Or(cmp.Compare(a.Rack, b.Rack), cmp.Compare(a.Name, b.Name))
 }
 
-// AllAvailable returns the cluster as it is when every worker takes tasks.
+// AllAvailable returns a copy of the cluster in which every worker is available.
 func (c *Cluster) AllAvailable() *Cluster {
 	all := *c
 	all.workers = slices.Clone(c.workers)
@@ -68,7 +71,8 @@
 // RackCount returns the number of racks.
 func (c *Cluster) RackCount() int { return len(c.racks) }
 
-// RackWorkers returns the positions of a rack's workers. Callers must not change it.
+// RackWorkers returns the positions of a rack's workers. Callers must not change
+// the slice.
 func (c *Cluster) RackWorkers(r int) []int { return c.racks[r] }
 
 // RackOf returns the rack of the worker at position w.
@@ -83,8 +87,8 @@
 	return w, ok
 }
 
-// TaskCapacityIfEmpty returns how many of a shape's tasks the given workers could take
-// if nothing ran on them.
+// TaskCapacityIfEmpty returns how many of a shape's tasks the given workers
+// could run if nothing else ran on them.
 func (c *Cluster) TaskCapacityIfEmpty(workers []int, s job.Shape) int {
 	if s.AcceleratorsPerTask == 0 {
 		return s.Tasks
--- a/placement/topology/fit.go
+++ b/placement/topology/fit.go
@@ -6,12 +6,13 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// AvoidFunc reports workers that a gang must not use; nil avoids none.
+// AvoidFunc reports whether a gang must not use the worker at position w; a nil
+// AvoidFunc excludes none.
 type AvoidFunc func(w int) bool
 
 // Fit finds adjacent free accelerators for a shape and returns the worker of
-// each task, or nil. It takes the tightest place, so that whole workers and
-// whole racks stay whole.
+// each task, or nil if there are none. It prefers workers and racks with few free
+// accelerators, to avoid fragmenting empty ones.
 func (k *Capacity) Fit(s job.Shape, avoid AvoidFunc) []int {
 	if s.Tasks <= 0 || s.Accelerators() > k.totalFree {
 		return nil
@@ -26,8 +27,8 @@
 	}
 }
 
-// FitWithin places a shape's tasks on the given workers, whatever its
-// adjacency, or returns nil if they lack the room.
+// FitWithin places a shape's tasks on the given workers and returns the worker
+// of each task, or nil if they lack the capacity. It ignores the adjacency.
 func (k *Capacity) FitWithin(workers []int, s job.Shape, avoid AvoidFunc) []int {
 	if k.TaskCapacity(workers, s, avoid) < s.Tasks {
 		return nil
@@ -53,8 +54,8 @@
 	return slices.Repeat([]int{best}, s.Tasks)
 }
 
-// tighterFit prefers the worker with less free, then the one in the fuller rack,
-// then the one with fewer tasks.
+// tighterFit reports whether worker a is preferred to worker b: it has fewer
+// free accelerators, else its rack has, else it runs fewer tasks.
 func (k *Capacity) tighterFit(a, b int) bool {
 	if k.Free(a) != k.Free(b) {
 		return k.Free(a) < k.Free(b)
@@ -106,7 +107,8 @@
 	return out
 }
 
-// fillWorkers places a shape's tasks on workers that are known to have room.
+// fillWorkers places a shape's tasks on workers that together have room for
+// them, starting with those that have the fewest free accelerators.
 func (k *Capacity) fillWorkers(workers []int, s job.Shape, avoid AvoidFunc) []int {
 	order := k.fillOrder[:0]
 	for _, w := range workers {
@@ -129,7 +131,8 @@
 	return out
 }
 
-// spreadTasks deals tasks without accelerators to the workers with fewest tasks.
+// spreadTasks distributes tasks without accelerators evenly over the workers,
+// starting with those that run the fewest tasks.
 func (k *Capacity) spreadTasks(workers []int, tasks int) []int {
 	slices.SortStableFunc(workers, func(a, b int) int { return k.tasks[a] - k.tasks[b] })
 	out := make([]int, tasks)
@@ -139,7 +142,8 @@
 	return out
 }
 
-// TaskCapacity returns how many of a shape's tasks the given workers can take.
+// TaskCapacity returns how many of a shape's tasks the given workers have room
+// for.
 func (k *Capacity) TaskCapacity(workers []int, s job.Shape, avoid AvoidFunc) int {
 	n := 0
 	for _, w := range workers {
@@ -148,7 +152,7 @@
 	return n
 }
 
-// TaskCapacityOn returns how many of a shape's tasks a worker can take.
+// TaskCapacityOn returns how many of a shape's tasks a worker has room for.
 func (k *Capacity) TaskCapacityOn(w int, s job.Shape, avoid AvoidFunc) int {
 	if !k.usable(w, avoid) {
 		return 0
