--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// seeds returns the seeds for tuning, or with HOLDOUT=1 those kept aside, or
+// benchSeeds returns the benchSeeds for tuning, or with HOLDOUT=1 those kept aside, or
 // the one that SEED names.
-func seeds() []uint64 {
+func benchSeeds() []uint64 {
 	if seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return []uint64{seed}
 	}
@@ -22,25 +22,25 @@
 // BenchmarkReplay measures completion time and fragmentation against strict
 // FIFO first-fit and against the same policy with true run times.
 func BenchmarkReplay(b *testing.B) {
-	for _, size := range []traceSize{usersOne, usersWhole, letterOne, letterWhole} {
+	for _, size := range []traceSize{uniformOne, uniformAll, mixedOne, mixedAll} {
 		for _, load := range []float64{.5, .8, .95} {
 			b.Run(fmt.Sprintf("%s/load=%g", size.name, load), func(b *testing.B) {
 				for b.Loop() {
-					compare(b, size, load)
+					comparePolicies(b, size, load)
 				}
 			})
 		}
 	}
 }
 
-func compare(b *testing.B, size traceSize, load float64) {
+func comparePolicies(b *testing.B, size traceSize, load float64) {
 	var ours, fifo, oracle replayResult
-	n := float64(len(seeds()))
+	n := float64(len(benchSeeds()))
 	reclaims := 0
-	for _, seed := range seeds() {
+	for _, seed := range benchSeeds() {
 		trace := drawTrace(size, load, seed)
 		r := newReplay(size, trace, Decide)
-		r.pulls = true
+		r.pullsJobs = true
 		r.run()
 		ours = ours.plus(r.result())
 		reclaims += r.reclaims
@@ -48,50 +48,50 @@
 		r.run()
 		fifo = fifo.plus(r.result())
 		r = newReplay(size, trace, Decide)
-		r.oracle, r.pulls = true, true
+		r.oracle, r.pullsJobs = true, true
 		r.run()
 		oracle = oracle.plus(r.result())
 	}
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(ours.mean/n, "mean/run")
-	b.ReportMetric(fifo.mean/n, "fifo-mean/run")
-	b.ReportMetric(oracle.mean/n, "oracle-mean/run")
-	b.ReportMetric(ours.mean/fifo.mean, "mean/fifo")
-	b.ReportMetric(ours.small/n, "small-mean/run")
-	b.ReportMetric(ours.p95/n, "p95/run")
-	b.ReportMetric(fifo.p95/n, "fifo-p95/run")
+	b.ReportMetric(ours.meanCompletion/n, "mean/run")
+	b.ReportMetric(fifo.meanCompletion/n, "fifo-mean/run")
+	b.ReportMetric(oracle.meanCompletion/n, "oracle-mean/run")
+	b.ReportMetric(ours.meanCompletion/fifo.meanCompletion, "mean/fifo")
+	b.ReportMetric(ours.smallMean/n, "small-mean/run")
+	b.ReportMetric(ours.p95Completion/n, "p95/run")
+	b.ReportMetric(fifo.p95Completion/n, "fifo-p95/run")
 	b.ReportMetric(ours.fragmented/n, "fragmented")
 	b.ReportMetric(fifo.fragmented/n, "fifo-fragmented")
-	b.ReportMetric(ours.largest.Hours(), "largest-wait-h")
-	b.ReportMetric(fifo.largest.Hours(), "fifo-largest-wait-h")
+	b.ReportMetric(ours.longestWaitOfLargest.Hours(), "largest-wait-h")
+	b.ReportMetric(fifo.longestWaitOfLargest.Hours(), "fifo-largest-wait-h")
 	b.ReportMetric(float64(reclaims)/n, "reclaims")
 }
 
 func (r replayResult) plus(o replayResult) replayResult {
 	return replayResult{
-		mean: r.mean + o.mean, p95: r.p95 + o.p95, small: r.small + o.small, largest: max(r.largest, o.largest),
-		fragmented: r.fragmented + o.fragmented, work: r.work + o.work, ofWanted: r.ofWanted + o.ofWanted,
+		meanCompletion: r.meanCompletion + o.meanCompletion, p95Completion: r.p95Completion + o.p95Completion, smallMean: r.smallMean + o.smallMean, longestWaitOfLargest: max(r.longestWaitOfLargest, o.longestWaitOfLargest),
+		fragmented: r.fragmented + o.fragmented, workOfCapacity: r.workOfCapacity + o.workOfCapacity, workOfDemand: r.workOfDemand + o.workOfDemand,
 	}
 }
 
 // BenchmarkLeaveAndReturn measures the work done while a failure domain leaves
 // and returns, as a share of what the accelerators in service could do.
 func BenchmarkLeaveAndReturn(b *testing.B) {
-	for _, size := range []traceSize{usersWhole, letterWhole} {
+	for _, size := range []traceSize{uniformAll, mixedAll} {
 		b.Run(size.name, func(b *testing.B) {
 			for b.Loop() {
 				var ours, fifo replayResult
-				for _, seed := range seeds() {
+				for _, seed := range benchSeeds() {
 					trace := drawTrace(size, .8, seed)
 					ours = ours.plus(leaveAndReturn(size, trace, Decide, true))
 					fifo = fifo.plus(leaveAndReturn(size, trace, fifoFirstFit, false))
 				}
-				n := float64(len(seeds()))
+				n := float64(len(benchSeeds()))
 				b.ReportMetric(0, "ns/op")
-				b.ReportMetric(ours.work/n, "work")
-				b.ReportMetric(fifo.work/n, "fifo-work")
-				b.ReportMetric(ours.ofWanted/n, "work/wanted")
-				b.ReportMetric(fifo.ofWanted/n, "fifo-work/wanted")
+				b.ReportMetric(ours.workOfCapacity/n, "work")
+				b.ReportMetric(fifo.workOfCapacity/n, "fifo-work")
+				b.ReportMetric(ours.workOfDemand/n, "work/wanted")
+				b.ReportMetric(fifo.workOfDemand/n, "fifo-work/wanted")
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 
 func leaveAndReturn(size traceSize, trace []traceJob, decide func(View) Plan, pulls bool) replayResult {
 	r := newReplay(size, trace, decide)
-	r.pulls = pulls
+	r.pullsJobs = pulls
 	r.leaveAndReturn()
 	r.run()
 	return r.result()
--- a/placement/checker_test.go
+++ b/placement/checker_test.go
@@ -11,7 +11,7 @@
 
 // checkPlan tells what is wrong with a plan, without using the code under test.
 func checkPlan(v View, p Plan) error {
-	for _, check := range []func(View, Plan) error{checkOnce, checkStarts, checkReclaims, checkRoom, checkQuotas, checkBacking} {
+	for _, check := range []func(View, Plan) error{checkEveryJobAnswered, checkStarts, checkReclaims, checkNoDoubleAllocation, checkQuotas, checkBacking} {
 		if err := check(v, p); err != nil {
 			return err
 		}
@@ -19,24 +19,24 @@
 	return nil
 }
 
-// checkOnce: every waiting job is either started or held with a reason.
-func checkOnce(v View, p Plan) error {
-	told := map[job.ID]int{}
+// checkEveryJobAnswered: every waiting job is either started or held with a reason.
+func checkEveryJobAnswered(v View, p Plan) error {
+	outcomes := map[job.ID]int{}
 	for _, s := range p.Starts {
-		told[s.ID]++
+		outcomes[s.ID]++
 	}
 	for _, h := range p.Holds {
-		told[h.ID]++
+		outcomes[h.ID]++
 		if h.Reason == "" {
 			return fmt.Errorf("%v is held without reason", h.ID)
 		}
 	}
 	for _, w := range v.Waiting {
-		if told[w.ID] != 1 {
-			return fmt.Errorf("%v is told %d outcomes", w.ID, told[w.ID])
+		if outcomes[w.ID] != 1 {
+			return fmt.Errorf("%v is told %d outcomes", w.ID, outcomes[w.ID])
 		}
 	}
-	if len(told) != len(v.Waiting) {
+	if len(outcomes) != len(v.Waiting) {
 		return fmt.Errorf("the plan names jobs that do not wait")
 	}
 	return nil
@@ -52,7 +52,7 @@
 		if len(s.Workers) != w.Shape.Tasks {
 			return fmt.Errorf("%v: %d workers for %d tasks", s.ID, len(s.Workers), w.Shape.Tasks)
 		}
-		near := map[string]bool{}
+		locations := map[string]bool{}
 		for _, name := range s.Workers {
 			worker := workerOf(v, name)
 			if worker.UnavailableReason != "" || worker.Probing && w.Shape.Tasks > 1 {
@@ -60,12 +60,12 @@
 			}
 			switch w.Shape.Adjacency {
 			case job.SameWorker:
-				near[name] = true
+				locations[name] = true
 			case job.SameRack:
-				near[worker.Rack] = true
+				locations[worker.Rack] = true
 			}
 		}
-		if len(near) > 1 {
+		if len(locations) > 1 {
 			return fmt.Errorf("%v is not adjacent: %v", s.ID, s.Workers)
 		}
 	}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// checkRoom: no accelerator is given to two tasks.
-func checkRoom(v View, p Plan) error {
+// checkNoDoubleAllocation: no accelerator is given to two tasks.
+func checkNoDoubleAllocation(v View, p Plan) error {
 	used := map[string]int{}
 	for _, g := range v.Running {
 		for _, w := range g.Workers {
@@ -143,14 +143,14 @@
 	if !before && len(p.Deficits) == 0 {
 		return fmt.Errorf("no backing plan exists, and no deficit is reported")
 	}
-	if before && len(p.Deficits) == 0 && !canBack(after(v, p)) {
+	if before && len(p.Deficits) == 0 && !canBack(viewAfter(v, p)) {
 		return fmt.Errorf("the starts leave no backing plan")
 	}
 	return nil
 }
 
-// after returns the view once the plan's starts run and its reclaims stop.
-func after(v View, p Plan) View {
+// viewAfter returns the view once the plan's starts run and its reclaims stop.
+func viewAfter(v View, p Plan) View {
 	v = cloneView(v)
 	for _, s := range p.Starts {
 		w := waitingOf(v, s.ID)
@@ -194,7 +194,7 @@
 	return Worker{UnavailableReason: "unknown"}
 }
 
-func copies(v View) []Guarantee {
+func guaranteedCopies(v View) []Guarantee {
 	var out []Guarantee
 	for _, g := range v.Guarantees {
 		for range g.Count {
@@ -220,8 +220,8 @@
 	if s.Tasks <= each {
 		return true
 	}
-	near := s.Adjacency == job.SameFailureDomain || s.Adjacency == job.SameRack && c.Shape.Adjacency == job.SameRack
-	return near && s.Tasks <= each*c.Shape.Tasks
+	adjacentEnough := s.Adjacency == job.SameFailureDomain || s.Adjacency == job.SameRack && c.Shape.Adjacency == job.SameRack
+	return adjacentEnough && s.Tasks <= each*c.Shape.Tasks
 }
 
 // protectedGangs returns the gangs that hold a guarantee, in order of right.
@@ -232,7 +232,7 @@
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int { return compareHolders(&v.Running[a], &v.Running[b]) })
+	slices.SortFunc(order, func(a, b int) int { return compareGuaranteedGangs(&v.Running[a], &v.Running[b]) })
 	for _, i := range order {
 		if assignments(v, append(slices.Clone(kept), i), func([]bool) bool { return true }) {
 			kept = append(kept, i)
@@ -244,7 +244,7 @@
 // assignments tries every way to give each gang a copy of its own, and reports
 // whether accept takes one.
 func assignments(v View, gangs []int, accept func(used []bool) bool) bool {
-	cs := copies(v)
+	cs := guaranteedCopies(v)
 	used := make([]bool, len(cs))
 	var assign func(n int) bool
 	assign = func(n int) bool {
@@ -283,25 +283,25 @@
 	}
 	return assignments(v, kept, func(used []bool) bool {
 		var left []job.Shape
-		for i, c := range copies(v) {
+		for i, c := range guaranteedCopies(v) {
 			if !used[i] {
 				left = append(left, c.Shape)
 			}
 		}
-		return packs(v.Workers, maps.Clone(free), left)
+		return canPack(v.Workers, maps.Clone(free), left)
 	})
 }
 
-// packs reports whether all shapes fit at once, by trying every placement.
-func packs(workers []Worker, free map[string]int, shapes []job.Shape) bool {
+// canPack reports whether all shapes fit at once, by trying every placement.
+func canPack(workers []Worker, free map[string]int, shapes []job.Shape) bool {
 	if len(shapes) == 0 {
 		return true
 	}
 	s := shapes[0]
-	var place func(task, from int, first Worker) bool
-	place = func(task, from int, first Worker) bool {
+	var placeTasks func(task, from int, first Worker) bool
+	placeTasks = func(task, from int, first Worker) bool {
 		if task == s.Tasks {
-			return packs(workers, free, shapes[1:])
+			return canPack(workers, free, shapes[1:])
 		}
 		for i := from; i < len(workers); i++ {
 			w := workers[i]
@@ -310,18 +310,18 @@
 				continue
 			}
 			free[w.Name] -= s.AcceleratorsPerTask
-			here := first
+			firstWorker := first
 			if task == 0 {
-				here = w
+				firstWorker = w
 			}
-			if place(task+1, i, here) {
+			if placeTasks(task+1, i, firstWorker) {
 				return true
 			}
 			free[w.Name] += s.AcceleratorsPerTask
 		}
 		return false
 	}
-	return place(0, 0, Worker{})
+	return placeTasks(0, 0, Worker{})
 }
 
 // decideTwice decides on a view and reports an error if the view was changed
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -15,7 +15,7 @@
 // overdue ones first, then in order of how long they have waited for their work.
 func Decide(v View) Plan {
 	if v.Out {
-		return drain(&v)
+		return drainPlan(&v)
 	}
 	return decide(&v).plan
 }
@@ -24,65 +24,65 @@
 func decide(v *View) *decision {
 	d := newDecision(v)
 	d.reportDeficits()
-	queue := d.admit()
+	queue := d.admitJobs()
 	queue = d.startGuaranteed(queue)
 	queue = d.startUrgent(queue)
 	queue = d.startProbes(queue)
-	d.startRest(queue)
+	d.startWithBackfill(queue)
 	return d
 }
 
 // decision is the state of one call of Decide.
 type decision struct {
-	v          *View
-	plan       Plan
-	cluster    *topology.Cluster
-	free       *topology.Capacity // free now and set aside for nobody
-	soon       *topology.Capacity // free, and what stopping gangs will free
-	firm       *topology.Capacity // not held by work within guarantees
-	left       *topology.Capacity // free beside reservations once the plan's jobs have started
-	assignment *guarantee.Assignment
-	backing    *guarantee.Backing
-	places     [][]int // worker of each task of each running gang; unknown ones left out
-	borrowers  []int   // running gangs that may be reclaimed
-	teams      map[team]*quotaUse
-	usage      map[string]int // accelerators in use by each organisation
-	predicts   *predictor
-	reclaimer  *guarantee.Reclaimer
-	victims    []bool               // borrowers asked to stop in this plan
-	beside     map[job.Shape]bool   // whether shapes fit beside all guarantees
-	cleared    int                  // times urgent work outside guarantees looked for borrowers to stop
-	noVictims  map[job.Shape]bool   // shapes for which urgent work found nobody to reclaim from
-	feasible   map[job.Shape]string // why shapes never run; empty: they may
-	empty      *topology.Capacity   // all workers with nothing running, once needed
-}
-
-// team names a team of an organisation.
-type team struct{ organisation, name string }
+	v                     *View
+	plan                  Plan
+	cluster               *topology.Cluster
+	free                  *topology.Capacity // free now and set aside for nobody
+	freeSoon              *topology.Capacity // free, and what stopping gangs will free
+	unguaranteed          *topology.Capacity // not held by work within guarantees
+	remaining             *topology.Capacity // free beside reservations once the plan's jobs have started
+	assignment            *guarantee.Assignment
+	backing               *guarantee.Backing
+	placements            [][]int // worker of each task of each running gang; unknown ones left out
+	borrowers             []int   // running gangs that may be reclaimed
+	teams                 map[teamKey]*quotaUse
+	usage                 map[string]int // accelerators in use by each organisation
+	predictor             *predictor
+	reclaimer             *guarantee.Reclaimer
+	victims               []bool               // borrowers asked to stop in this plan
+	fitsBesideGuarantees  map[job.Shape]bool   // whether shapes fit beside all guarantees
+	urgentReclaimAttempts int                  // times urgent work outside guarantees looked for borrowers to stop
+	noVictims             map[job.Shape]bool   // shapes for which urgent work found nobody to reclaim from
+	infeasibleReasons     map[job.Shape]string // why shapes never run; empty: they may
+	idle                  *topology.Capacity   // all workers with nothing running, once needed
+}
+
+// teamKey names a teamKey of an organisation.
+type teamKey struct{ organisation, name string }
 
 // quotaUse is a team's quota and what it uses of it.
 type quotaUse struct{ limit, used int }
 
 func newDecision(v *View) *decision {
 	d := &decision{
-		v:          v,
-		cluster:    topology.NewCluster(topologyWorkers(v.Workers)),
-		assignment: guarantee.NewAssignment(guarantees(v.Guarantees)),
-		teams:      map[team]*quotaUse{},
-		usage:      map[string]int{},
-		predicts:   newPredictor(v.Estimates),
-		feasible:   map[job.Shape]string{},
-		beside:     map[job.Shape]bool{},
-		noVictims:  map[job.Shape]bool{},
+		v:                    v,
+		cluster:              topology.NewCluster(topologyWorkers(v.Workers)),
+		assignment:           guarantee.NewAssignment(guarantees(v.Guarantees)),
+		teams:                map[teamKey]*quotaUse{},
+		usage:                map[string]int{},
+		predictor:            newPredictor(v.Estimates),
+		infeasibleReasons:    map[job.Shape]string{},
+		fitsBesideGuarantees: map[job.Shape]bool{},
+		noVictims:            map[job.Shape]bool{},
 	}
 	for _, q := range v.Quotas {
-		d.teams[team{q.Organisation, q.Team}] = &quotaUse{limit: q.Accelerators}
+		d.teams[teamKey{q.Organisation, q.Team}] = &quotaUse{limit: q.Accelerators}
 	}
-	d.firm = topology.NewCapacity(d.cluster)
-	d.free = d.firm.Clone()
-	d.soon = d.firm.Clone()
+	d.unguaranteed = topology.NewCapacity(d.cluster)
+	d.free = d.unguaranteed.Clone()
+	d.freeSoon = d.unguaranteed.Clone()
 	d.addRunning()
-	d.backing = d.assignment.PlanBacking(d.firm, d.assignment.UnusedSlots(noSlot))
+	d.backing = d.assignment.PlanBacking(d.unguaranteed, d.assignment.UnusedSlots(noSlot))
 	return d
 }
 
@@ -91,21 +91,21 @@
 // addRunning takes what runs from the capacities and finds out what counts
 // against guarantees: gangs that were started so, as far as slots are left.
 func (d *decision) addRunning() {
-	d.places = make([][]int, len(d.v.Running))
+	d.placements = make([][]int, len(d.v.Running))
 	for i := range d.v.Running {
 		g := &d.v.Running[i]
-		d.places[i] = d.positions(g.Workers)
+		d.placements[i] = d.positions(g.Workers)
 		n := g.Shape.AcceleratorsPerTask
-		d.free.AllocateAll(d.places[i], n)
+		d.free.AllocateAll(d.placements[i], n)
 		if !g.Stopping {
-			d.soon.AllocateAll(d.places[i], n)
+			d.freeSoon.AllocateAll(d.placements[i], n)
 		}
-		d.use(g.ID.Organisation, g.Team, g.Shape)
+		d.addUsage(g.ID.Organisation, g.Team, g.Shape)
 	}
 	for _, i := range d.claimOrder() {
 		g := &d.v.Running[i]
 		if _, ok := d.assignment.AddClaim(claimOf(g.ID, g.Shape, g.Urgent)); ok {
-			d.firm.AllocateAll(d.places[i], g.Shape.AcceleratorsPerTask)
+			d.unguaranteed.AllocateAll(d.placements[i], g.Shape.AcceleratorsPerTask)
 			continue
 		}
 		d.borrowers = append(d.borrowers, i)
@@ -127,7 +127,7 @@
 			out = append(out, i)
 		}
 	}
-	slices.SortFunc(out, func(a, b int) int { return compareHolders(&d.v.Running[a], &d.v.Running[b]) })
+	slices.SortFunc(out, func(a, b int) int { return compareGuaranteedGangs(&d.v.Running[a], &d.v.Running[b]) })
 	return out
 }
 
@@ -141,42 +141,42 @@
 	return out
 }
 
-func (d *decision) use(organisation, name string, s job.Shape) {
+func (d *decision) addUsage(organisation, name string, s job.Shape) {
 	d.usage[organisation] += s.Accelerators()
-	if q := d.teams[team{organisation, name}]; q != nil {
+	if q := d.teams[teamKey{organisation, name}]; q != nil {
 		q.used += s.Accelerators()
 	}
 }
 
-// start puts a start into the plan and takes its accelerators.
-func (d *decision) start(w *WaitingJob, place []int, guaranteed bool) {
-	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.WorkerNames(place), Guaranteed: guaranteed})
-	d.setAside(place, w.Shape)
-	d.use(w.ID.Organisation, w.Team, w.Shape)
+// startJob puts a startJob into the plan and takes its accelerators.
+func (d *decision) startJob(w *WaitingJob, placement []int, guaranteed bool) {
+	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.WorkerNames(placement), Guaranteed: guaranteed})
+	d.setAside(placement, w.Shape)
+	d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 }
 
 // setAside takes accelerators so that no later job of this decision gets them.
-func (d *decision) setAside(place []int, s job.Shape) {
-	d.free.AllocateAll(place, s.AcceleratorsPerTask)
-	d.soon.AllocateAll(place, s.AcceleratorsPerTask)
+func (d *decision) setAside(placement []int, s job.Shape) {
+	d.free.AllocateAll(placement, s.AcceleratorsPerTask)
+	d.freeSoon.AllocateAll(placement, s.AcceleratorsPerTask)
 }
 
-func (d *decision) hold(w *WaitingJob, reason string) {
+func (d *decision) holdJob(w *WaitingJob, reason string) {
 	d.plan.Holds = append(d.plan.Holds, Hold{ID: w.ID, Reason: reason})
 }
 
-// reclaim asks the borrowers to stop and counts them as stopping from now on.
-func (d *decision) reclaim(borrowers []int, forJob job.ID, reason string) {
+// reclaimBorrowers asks the borrowers to stop and counts them as stopping from now on.
+func (d *decision) reclaimBorrowers(borrowers []int, forJob job.ID, reason string) {
 	for _, b := range borrowers {
 		g := &d.v.Running[d.borrowers[b]]
 		d.plan.Reclaims = append(d.plan.Reclaims, Reclaim{ID: g.ID, For: forJob, Reason: reason})
-		d.soon.ReleaseAll(d.places[d.borrowers[b]], g.Shape.AcceleratorsPerTask)
+		d.freeSoon.ReleaseAll(d.placements[d.borrowers[b]], g.Shape.AcceleratorsPerTask)
 		d.victims[b] = true
 	}
 }
 
-// drain holds everything and asks gangs that can save their work to stop.
-func drain(v *View) Plan {
+// drainPlan holds everything and asks gangs that can save their work to stop.
+func drainPlan(v *View) Plan {
 	var p Plan
 	for i := range v.Running {
 		if g := &v.Running[i]; g.Checkpoint && !g.Stopping {
--- a/placement/decide_bench_test.go
+++ b/placement/decide_bench_test.go
@@ -11,11 +11,11 @@
 // busyView is a view of a full cluster of letter 1's mix with many jobs waiting
 // and, for each accelerator, about four tasks without accelerators.
 func busyView(workers, waiting int) View {
-	size := traceSize{workers: []int{workers}, span: 3 * 24 * time.Hour, wide: true}
+	size := traceSize{workers: []int{workers}, span: 3 * 24 * time.Hour, mixedWorkers: true}
 	trace := drawTrace(size, 2, 1)
 	v := View{Now: time.Time{}.Add(size.span), Workers: size.cluster(0), Guarantees: size.guarantees(), Estimates: NewEstimates()}
 	for _, j := range trace[:min(400, len(trace))] {
-		v.Estimates.Observe(j.ID.Service, j.Template, j.DeclaredRun, j.run)
+		v.Estimates.Observe(j.ID.Service, j.Template, j.DeclaredRun, j.trueRun)
 	}
 	for i, j := range trace {
 		w := j.WaitingJob
@@ -24,7 +24,7 @@
 		}
 		v.Waiting = append(v.Waiting, w)
 	}
-	v = after(v, Decide(v))
+	v = viewAfter(v, Decide(v))
 	for i := range v.Running {
 		v.Running[i].Started = v.Now.Add(-time.Duration(i%300) * time.Minute)
 	}
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -58,50 +58,50 @@
 	return ""
 }
 
-var whole = shapeOf(1, 4, job.SameWorker)
+var wholeWorker = shapeOf(1, 4, job.SameWorker)
 
 func TestOrderIsFairBetweenOrganisations(t *testing.T) {
 	b := newBuilder(2)
-	b.running("large", "old", whole, time.Hour, time.Minute, "w0")
+	b.running("large", "old", wholeWorker, time.Hour, time.Minute, "w0")
 	for _, name := range []string{"a", "b", "c"} {
-		b.waiting("large", name, whole, time.Hour, time.Hour)
+		b.waiting("large", name, wholeWorker, time.Hour, time.Hour)
 	}
-	b.waiting("small", "later", whole, time.Hour, 10*time.Minute)
+	b.waiting("small", "later", wholeWorker, time.Hour, 10*time.Minute)
 	must.Eq(t, []string{"later"}, started(Decide(b.v)))
 }
 
-func TestOverdueJobGoesFirst(t *testing.T) {
+func TestOverdueJobStartsFirst(t *testing.T) {
 	b := newBuilder(1)
-	b.waiting("a", "short", whole, time.Minute, time.Hour)
-	b.waiting("a", "overdue", whole, 30*time.Hour, 13*time.Hour)
+	b.waiting("a", "short", wholeWorker, time.Minute, time.Hour)
+	b.waiting("a", "overdue", wholeWorker, 30*time.Hour, 13*time.Hour)
 	must.Eq(t, []string{"overdue"}, started(Decide(b.v)))
-	b.v.Guarantees = []Guarantee{{"b", whole, 1}} // it no longer fits beside all guarantees
+	b.v.Guarantees = []Guarantee{{"b", wholeWorker, 1}} // it no longer fits beside all guarantees
 	must.Eq(t, []string{"short"}, started(Decide(b.v)))
 }
 
 func TestBackfillRespectsReservation(t *testing.T) {
 	b := newBuilder(2)
-	b.running("a", "half", whole, time.Hour, 0, "w0").Checkpoint = false
+	b.running("a", "half", wholeWorker, time.Hour, 0, "w0").Checkpoint = false
 	b.waiting("a", "both", shapeOf(2, 4, job.SameRack), time.Minute, 11*time.Hour)
-	b.waiting("b", "long", whole, 3*time.Hour, 0)
+	b.waiting("b", "long", wholeWorker, 3*time.Hour, 0)
 	p := Decide(b.v)
 	must.Len(t, 0, started(p))
 	must.StrContains(t, holdOf(p, "both"), "kept for it from about 2026-12-04T13:00:00Z")
 	must.StrContains(t, holdOf(p, "long"), "waited longer")
-	b.waiting("b", "brief", whole, 10*time.Minute, 0)
+	b.waiting("b", "brief", wholeWorker, 10*time.Minute, 0)
 	must.Eq(t, []string{"brief"}, started(Decide(b.v)))
 }
 
-func TestDisplaceOnlyWhenItPays(t *testing.T) {
+func TestDisplacesOnlyWhenWaitSavedExceedsDelay(t *testing.T) {
 	b := newBuilder(2)
 	s := shapeOf(1, 1, job.SameWorker)
 	b.running("a", "left", s, 20*time.Hour, time.Hour, "w0")
 	b.running("a", "right", s, 20*time.Hour, time.Hour, "w1")
-	b.waiting("b", "wide", whole, 5*time.Hour, time.Hour)
+	b.waiting("b", "wide", wholeWorker, 5*time.Hour, time.Hour)
 	p := Decide(b.v) // one gang moves to the other worker and loses only a restart
 	must.Len(t, 1, p.Reclaims)
 	must.StrContains(t, p.Reclaims[0].Reason, "moved")
-	b.v.Running[0].Shape, b.v.Running[1].Shape = whole, whole
+	b.v.Running[0].Shape, b.v.Running[1].Shape = wholeWorker, wholeWorker
 	must.Len(t, 1, Decide(b.v).Reclaims) // saves 19 h for a delay of 5 h
 	b.v.Waiting[0].DeclaredRun = 15 * time.Hour
 	must.Len(t, 0, Decide(b.v).Reclaims) // saves 19 h for a delay of 15 h
@@ -113,8 +113,8 @@
 	half := shapeOf(1, 2, job.SameWorker)
 	b := newBuilder(2)
 	b.running("c", "beside", half, time.Hour, time.Hour, "w0")
-	b.running("c", "other", whole, time.Hour, 0, "w1")
-	b.v.Guarantees = []Guarantee{{"a", half, 1}, {"b", whole, 1}, {"d", half, 1}}
+	b.running("c", "other", wholeWorker, time.Hour, 0, "w1")
+	b.v.Guarantees = []Guarantee{{"a", half, 1}, {"b", wholeWorker, 1}, {"d", half, 1}}
 	b.waiting("a", "first", half, time.Hour, time.Hour).Urgent = true
 	b.waiting("d", "second", half, time.Hour, time.Minute).Urgent = true
 	p := Decide(b.v)
@@ -125,24 +125,24 @@
 
 func TestReclaimIsFairBetweenOrganisations(t *testing.T) {
 	b := newBuilder(3)
-	b.running("modest", "one", whole, time.Hour, time.Hour, "w0")
-	b.running("greedy", "two", whole, time.Hour, time.Hour, "w1")
-	b.running("greedy", "three", whole, time.Hour, time.Hour, "w2")
-	b.v.Guarantees = []Guarantee{{"a", whole, 1}}
-	b.waiting("a", "urgent", whole, time.Hour, 0).Urgent = true
+	b.running("modest", "one", wholeWorker, time.Hour, time.Hour, "w0")
+	b.running("greedy", "two", wholeWorker, time.Hour, time.Hour, "w1")
+	b.running("greedy", "three", wholeWorker, time.Hour, time.Hour, "w2")
+	b.v.Guarantees = []Guarantee{{"a", wholeWorker, 1}}
+	b.waiting("a", "urgent", wholeWorker, time.Hour, 0).Urgent = true
 	p := Decide(b.v)
 	must.Len(t, 1, p.Reclaims)
 	must.Eq(t, "greedy", p.Reclaims[0].ID.Organisation)
-	must.Eq(t, reasonReclaiming, holdOf(p, "urgent"))
+	must.Eq(t, reasonGuaranteedReclaiming, holdOf(p, "urgent"))
 }
 
 func TestDeficitNamesCause(t *testing.T) {
 	b := newBuilder(2)
-	b.v.Guarantees = []Guarantee{{"a", whole, 2}}
+	b.v.Guarantees = []Guarantee{{"a", wholeWorker, 2}}
 	must.Len(t, 0, Decide(b.v).Deficits)
 	b.v.Workers[1].UnavailableReason = "silent"
 	d := Decide(b.v).Deficits
-	must.Eq(t, []Deficit{{"a", whole, 1, "1 workers with 4 accelerators are unavailable; bring them back or lower the guarantees"}}, d)
+	must.Eq(t, []Deficit{{"a", wholeWorker, 1, "1 workers with 4 accelerators are unavailable; bring them back or lower the guarantees"}}, d)
 	b.v.Guarantees[0].Count = 3
 	must.StrContains(t, Decide(b.v).Deficits[0].Reason, "more adjacent accelerators than the 2 workers")
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestPlacementKeepsRacksWhole(t *testing.T) {
+func TestPlacementPrefersFullerRacks(t *testing.T) {
 	b := newBuilder(4)
 	b.running("a", "one", shapeOf(1, 1, job.SameWorker), time.Hour, 0, "w2")
 	b.waiting("a", "spread", shapeOf(3, 1, job.SameRack), time.Hour, 0)
@@ -195,13 +195,13 @@
 	must.Eq(t, near, again.Predict("s", "t", 2*time.Hour, .5))
 }
 
-func TestPullTakesWhatStartsAtOnce(t *testing.T) {
+func TestPullableJobsStartAtOnce(t *testing.T) {
 	b := newBuilder(2)
-	b.running("a", "half", whole, time.Hour, 0, "w0").Checkpoint = false
+	b.running("a", "half", wholeWorker, time.Hour, 0, "w0").Checkpoint = false
 	o := newBuilder(0)
 	o.waiting("b", "wide", shapeOf(2, 4, job.SameRack), time.Hour, time.Hour)
-	o.waiting("b", "fits", whole, time.Hour, time.Hour)
-	o.waiting("b", "late", whole, time.Hour, time.Minute)
+	o.waiting("b", "fits", wholeWorker, time.Hour, time.Hour)
+	o.waiting("b", "late", wholeWorker, time.Hour, time.Minute)
 	must.Eq(t, []job.ID{o.v.Waiting[1].ID}, PullableJobs(b.v, o.v.Waiting))
 	b.v.Out = true
 	must.Len(t, 0, PullableJobs(b.v, o.v.Waiting))
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -11,14 +11,14 @@
 		return
 	}
 	reason := d.deficitReason()
-	at := map[Deficit]int{}
+	index := map[Deficit]int{}
 	for _, slot := range missing {
 		s := d.assignment.Slots()[slot]
 		key := Deficit{Organisation: s.Organisation, Shape: s.Shape}
-		i, seen := at[key]
+		i, seen := index[key]
 		if !seen {
 			i = len(d.plan.Deficits)
-			at[key] = i
+			index[key] = i
 			key.Reason = reason
 			d.plan.Deficits = append(d.plan.Deficits, key)
 		}
@@ -35,7 +35,7 @@
 			accelerators += w.Accelerators
 		}
 	}
-	whole := d.whole().Clone()
+	whole := d.idleCapacity().Clone()
 	slots := d.assignment.UnusedSlots(noSlot)
 	for i := range d.v.Running {
 		if g := &d.v.Running[i]; g.Guaranteed && !g.Stopping {
--- a/placement/estimates.go
+++ b/placement/estimates.go
@@ -9,33 +9,33 @@
 
 // Bounds of the learned ratios of actual to declared run time.
 const (
-	ratioBuckets  = 81   // buckets of a factor 2^(1/8) from 1/32 to 32
-	bucketsPerTwo = 8    // buckets in which a ratio doubles
-	ratioOffset   = 40   // bucket of ratio 1
-	keptWeight    = 0.98 // share of old weight kept at each observation
-	trustedWeight = 4.0  // observations that weigh as much as the wider group's
-	shortestRun   = time.Second
+	bucketCount        = 81   // buckets of a factor 2^(1/8) from 1/32 to 32
+	bucketsPerDoubling = 8    // buckets in which a ratio doubles
+	bucketOfOne        = 40   // bucket of ratio 1
+	decayFactor        = 0.98 // share of old weight kept at each observation
+	maxPriorWeight     = 4.0  // observations that weigh as much as the wider group's
+	minRun             = time.Second
 )
 
 // Estimates learns, per service and template, how far actual run times are
 // from declared ones. It is safe for concurrent use.
 type Estimates struct {
-	mu       sync.RWMutex
-	learned  map[string]*ratios // by service and template
-	services map[string]*ratios // by service
-	all      ratios
+	mu         sync.RWMutex
+	byTemplate map[string]*ratios // by service and template
+	byService  map[string]*ratios // by service
+	all        ratios
 }
 
 // ratios is a decaying histogram of actual over declared run time.
 type ratios struct {
-	Weight [ratioBuckets]float64 `json:"weight"`
-	Total  float64               `json:"total"`
+	Weight [bucketCount]float64 `json:"weight"`
+	Total  float64              `json:"total"`
 }
 
 // NewEstimates returns estimates that trust declared run times until they
 // have seen others.
 func NewEstimates() *Estimates {
-	return &Estimates{learned: map[string]*ratios{}, services: map[string]*ratios{}}
+	return &Estimates{byTemplate: map[string]*ratios{}, byService: map[string]*ratios{}}
 }
 
 // Observe learns from a run that came to its own end.
@@ -43,8 +43,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := bucketOf(declared, actual)
-	entry(e.learned, key(service, template)).add(b)
-	entry(e.services, service).add(b)
+	ratiosFor(e.byTemplate, estimateKey(service, template)).add(b)
+	ratiosFor(e.byService, service).add(b)
 	e.all.add(b)
 }
 
@@ -56,7 +56,7 @@
 
 // PredictAfter is Predict for a job that is known to have run for elapsed.
 func (e *Estimates) PredictAfter(service, template string, declared, elapsed time.Duration, quantile float64) time.Duration {
-	return predictFrom(e.blended(service, template), max(declared, shortestRun), elapsed, quantile)
+	return predictFrom(e.blendedRatios(service, template), max(declared, minRun), elapsed, quantile)
 }
 
 func predictFrom(r *ratios, declared, elapsed time.Duration, q float64) time.Duration {
@@ -64,18 +64,18 @@
 	return max(time.Duration(ratio*float64(declared)), elapsed+elapsed/4)
 }
 
-// blended weighs a template's own history against its service's, and that
+// blendedRatios weighs a template's own history against its service's, and that
 // against everything seen and the declared time itself.
-func (e *Estimates) blended(service, template string) *ratios {
+func (e *Estimates) blendedRatios(service, template string) *ratios {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	mix := &ratios{Total: 1}
-	mix.Weight[ratioOffset] = 1
+	mix.Weight[bucketOfOne] = 1
 	mix.mixIn(&e.all)
-	if s := e.services[service]; s != nil {
+	if s := e.byService[service]; s != nil {
 		mix.mixIn(s)
 	}
-	if l := e.learned[key(service, template)]; l != nil {
+	if l := e.byTemplate[estimateKey(service, template)]; l != nil {
 		mix.mixIn(l)
 	}
 	return mix
@@ -86,7 +86,7 @@
 	if finer.Total == 0 {
 		return
 	}
-	scale := min(1, trustedWeight/r.Total)
+	scale := min(1, maxPriorWeight/r.Total)
 	r.Total = 0
 	for i := range r.Weight {
 		r.Weight[i] = r.Weight[i]*scale + finer.Weight[i]
@@ -96,49 +96,49 @@
 
 func (r *ratios) add(bucket int) {
 	for i := range r.Weight {
-		r.Weight[i] *= keptWeight
+		r.Weight[i] *= decayFactor
 	}
 	r.Weight[bucket]++
-	r.Total = r.Total*keptWeight + 1
+	r.Total = r.Total*decayFactor + 1
 }
 
 // quantile returns the ratio under which a share q of the weight above the
 // ratio passed lies.
-func (r *ratios) quantile(passed, q float64) float64 {
+func (r *ratios) quantile(elapsedRatio, q float64) float64 {
 	first := 0
-	if passed > 0 {
-		first = min(bucketOfRatio(passed)+1, ratioBuckets)
+	if elapsedRatio > 0 {
+		first = min(bucketOfRatio(elapsedRatio)+1, bucketCount)
 	}
 	total := 0.0
 	for _, w := range r.Weight[first:] {
 		total += w
 	}
 	sum := 0.0
-	for i := first; i < ratioBuckets; i++ {
+	for i := first; i < bucketCount; i++ {
 		sum += r.Weight[i]
 		if sum > 0 && sum >= q*total {
 			return ratioOf(i)
 		}
 	}
-	return passed
+	return elapsedRatio
 }
 
 func bucketOf(declared, actual time.Duration) int {
-	return bucketOfRatio(float64(max(actual, shortestRun)) / float64(max(declared, shortestRun)))
+	return bucketOfRatio(float64(max(actual, minRun)) / float64(max(declared, minRun)))
 }
 
 func bucketOfRatio(ratio float64) int {
-	b := ratioOffset + int(math.Round(bucketsPerTwo*math.Log2(ratio)))
-	return min(max(b, 0), ratioBuckets-1)
+	b := bucketOfOne + int(math.Round(bucketsPerDoubling*math.Log2(ratio)))
+	return min(max(b, 0), bucketCount-1)
 }
 
 func ratioOf(bucket int) float64 {
-	return math.Exp2(float64(bucket-ratioOffset) / bucketsPerTwo)
+	return math.Exp2(float64(bucket-bucketOfOne) / bucketsPerDoubling)
 }
 
-func key(service, template string) string { return service + "/" + template }
+func estimateKey(service, template string) string { return service + "/" + template }
 
-func entry(m map[string]*ratios, k string) *ratios {
+func ratiosFor(m map[string]*ratios, k string) *ratios {
 	r := m[k]
 	if r == nil {
 		r = &ratios{}
@@ -158,7 +158,7 @@
 func (e *Estimates) MarshalJSON() ([]byte, error) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	return json.Marshal(estimatesState{Learned: e.learned, Services: e.services, All: e.all})
+	return json.Marshal(estimatesState{Learned: e.byTemplate, Services: e.byService, All: e.all})
 }
 
 // UnmarshalJSON takes over what MarshalJSON returned.
@@ -169,6 +169,6 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.learned, e.services, e.all = s.Learned, s.Services, s.All
+	e.byTemplate, e.byService, e.all = s.Learned, s.Services, s.All
 	return nil
 }
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -14,9 +14,9 @@
 
 // model drives Decide with random events on a small failure domain.
 type model struct {
-	v     View
-	next  int
-	steps *int
+	v       View
+	lastJob int
+	steps   *int
 }
 
 var modelAdjacencies = []job.Adjacency{job.SameWorker, job.SameRack, job.SameFailureDomain}
@@ -37,12 +37,12 @@
 		})
 	}
 	m.v.Quotas = []Quota{{Organisation: "a", Team: "small", Accelerators: 4}}
-	m.edit(t)
+	m.editGuarantees(t)
 	return m
 }
 
-func (m *model) arrive(t *rapid.T) {
-	m.next++
+func (m *model) submitJob(t *rapid.T) {
+	m.lastJob++
 	shape := drawModelShape(t, 4)
 	if len(m.v.Guarantees) > 0 && rapid.Bool().Draw(t, "guaranteed") {
 		shape = rapid.SampledFrom(m.v.Guarantees).Draw(t, "like").Shape
@@ -51,7 +51,7 @@
 		ID: job.ID{
 			Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
 			Service:      "s",
-			Name:         fmt.Sprint(m.next),
+			Name:         fmt.Sprint(m.lastJob),
 		},
 		Team:        rapid.SampledFrom([]string{"small", "large"}).Draw(t, "team"),
 		Shape:       shape,
@@ -62,8 +62,8 @@
 	})
 }
 
-// edit draws new guarantees, most often as many as an empty failure domain backs.
-func (m *model) edit(t *rapid.T) {
+// editGuarantees draws new guarantees, most often as many as an empty failure domain backs.
+func (m *model) editGuarantees(t *rapid.T) {
 	m.v.Guarantees = nil
 	empty := View{Workers: m.v.Workers}
 	backed := rapid.IntRange(0, 4).Draw(t, "backed") > 0
@@ -80,21 +80,21 @@
 	}
 }
 
-func (m *model) finish(t *rapid.T) {
-	if i := m.gang(t); i >= 0 {
+func (m *model) finishGang(t *rapid.T) {
+	if i := m.drawGang(t); i >= 0 {
 		m.v.Running = slices.Delete(m.v.Running, i, i+1)
 	}
 }
 
-func (m *model) cancelWave(t *rapid.T) {
+func (m *model) cancelJobs(t *rapid.T) {
 	m.v.Waiting = slices.DeleteFunc(m.v.Waiting, func(WaitingJob) bool { return rapid.Bool().Draw(t, "cancel") })
-	if i := m.gang(t); i >= 0 {
+	if i := m.drawGang(t); i >= 0 {
 		m.v.Running[i].Stopping = true
 	}
 }
 
-// stop ends every stopping gang; half of them wait again.
-func (m *model) stop(t *rapid.T) {
+// stopGangs ends every stopping gang; half of them wait again.
+func (m *model) stopGangs(t *rapid.T) {
 	for _, g := range m.v.Running {
 		if g.Stopping && rapid.Bool().Draw(t, "again") {
 			m.v.Waiting = append(m.v.Waiting, WaitingJob{
@@ -123,21 +123,21 @@
 	}
 }
 
-func (m *model) drain(t *rapid.T) { m.v.Out = rapid.IntRange(0, 3).Draw(t, "out") == 0 }
+func (m *model) changeOut(t *rapid.T) { m.v.Out = rapid.IntRange(0, 3).Draw(t, "out") == 0 }
 
-func (m *model) wait(t *rapid.T) {
+func (m *model) advanceClock(t *rapid.T) {
 	m.v.Now = m.v.Now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "minutes")) * time.Minute)
 }
 
-func (m *model) gang(t *rapid.T) int {
+func (m *model) drawGang(t *rapid.T) int {
 	if len(m.v.Running) == 0 {
 		return -1
 	}
 	return rapid.IntRange(0, len(m.v.Running)-1).Draw(t, "gang")
 }
 
-// check decides, checks the plan and carries it out.
-func (m *model) check(t *rapid.T) {
+// decideAndCheck decides, checks the plan and carries it out.
+func (m *model) decideAndCheck(t *rapid.T) {
 	*m.steps++
 	p, err := decideTwice(m.v)
 	if err == nil {
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatalf("step %d: %v\nview %+v\nplan %+v", *m.steps, err, m.v, p)
 	}
-	m.v = after(m.v, p)
+	m.v = viewAfter(m.v, p)
 	if err := checkReclaimedServed(m.v, p); err != nil {
 		t.Fatalf("step %d: %v\nview %+v\nplan %+v", *m.steps, err, m.v, p)
 	}
@@ -164,7 +164,7 @@
 	v.Waiting = slices.DeleteFunc(v.Waiting, func(w WaitingJob) bool { return w.Team == "small" })
 	next := Decide(v)
 	for _, h := range p.Holds {
-		if h.Reason == reasonReclaiming && slices.ContainsFunc(next.Holds, func(o Hold) bool { return o.ID == h.ID }) {
+		if h.Reason == reasonGuaranteedReclaiming && slices.ContainsFunc(next.Holds, func(o Hold) bool { return o.ID == h.ID }) {
 			return fmt.Errorf("%v was reclaimed for and does not start: %+v", h.ID, next)
 		}
 	}
@@ -188,7 +188,7 @@
 			continue
 		}
 		for _, h := range p.Holds {
-			if h.ID == w.ID && h.Reason != reasonReclaiming {
+			if h.ID == w.ID && h.Reason != reasonGuaranteedReclaiming {
 				return fmt.Errorf("urgent %v within its guarantee is held: %s", w.ID, h.Reason)
 			}
 		}
@@ -204,8 +204,8 @@
 	})
 }
 
-// TestModel checks every plan over at least 10,000 random events.
-func TestModel(t *testing.T) {
+// TestPlansKeepInvariantsOverRandomEvents checks every plan over at least 10,000 random events.
+func TestPlansKeepInvariantsOverRandomEvents(t *testing.T) {
 	must.NoError(t, flag.Set("rapid.seed", "20261204"))
 	must.NoError(t, flag.Set("rapid.checks", "150"))
 	must.NoError(t, flag.Set("rapid.steps", "100"))
@@ -214,8 +214,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, &steps)
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": m.arrive, "arrive again": m.arrive, "arrive more": m.arrive, "finish": m.finish, "finish again": m.finish, "finish more": m.finish, "cancel": m.cancelWave,
-			"stop": m.stop, "worker": m.changeWorker, "drain": m.drain, "edit": m.edit, "wait": m.wait, "": m.check,
+			"arrive": m.submitJob, "arrive again": m.submitJob, "arrive more": m.submitJob, "finish": m.finishGang, "finish again": m.finishGang, "finish more": m.finishGang, "cancel": m.cancelJobs,
+			"stop": m.stopGangs, "worker": m.changeWorker, "drain": m.changeOut, "edit": m.editGuarantees, "wait": m.advanceClock, "": m.decideAndCheck,
 		})
 	})
 	must.GreaterEq(t, 10_000, steps)
--- a/placement/predict.go
+++ b/placement/predict.go
@@ -4,9 +4,9 @@
 
 // Quantiles of the run time at which jobs are judged.
 const (
-	orderQuantile    = 0.5 // of waiting jobs, to order them
-	backfillQuantile = 0.5 // of waiting jobs, to let them go ahead of a reservation
-	remainQuantile   = 0.6 // of running gangs, to tell when accelerators come free
+	orderQuantile       = 0.5 // of waiting jobs, to order them
+	backfillQuantile    = 0.5 // of waiting jobs, to let them go ahead of a reservation
+	expectedEndQuantile = 0.6 // of running gangs, to tell when accelerators come free
 )
 
 // predictor reads estimates, blending each template's history but once.
@@ -19,45 +19,45 @@
 // have not started.
 type blend struct {
 	*ratios
-	order, backfill float64
+	orderRatio, backfillRatio float64
 }
 
 func newPredictor(e *Estimates) *predictor {
 	return &predictor{estimates: e, blends: map[[2]string]*blend{}}
 }
 
-// order returns the run time by which a waiting job is ordered.
-func (p *predictor) order(w *WaitingJob) time.Duration {
-	return p.scaled(w, func(b *blend) float64 { return b.order })
+// orderingRun returns the run time by which a waiting job is ordered.
+func (p *predictor) orderingRun(w *WaitingJob) time.Duration {
+	return p.scaledRun(w, func(b *blend) float64 { return b.orderRatio })
 }
 
-// backfill returns the run time that a waiting job is given to go ahead.
-func (p *predictor) backfill(w *WaitingJob) time.Duration {
-	return p.scaled(w, func(b *blend) float64 { return b.backfill })
+// backfillRun returns the run time that a waiting job is given to go ahead.
+func (p *predictor) backfillRun(w *WaitingJob) time.Duration {
+	return p.scaledRun(w, func(b *blend) float64 { return b.backfillRatio })
 }
 
-func (p *predictor) scaled(w *WaitingJob, ratio func(b *blend) float64) time.Duration {
-	declared := max(w.DeclaredRun, shortestRun)
+func (p *predictor) scaledRun(w *WaitingJob, ratio func(b *blend) float64) time.Duration {
+	declared := max(w.DeclaredRun, minRun)
 	if p.estimates == nil {
 		return declared
 	}
-	return time.Duration(ratio(p.blend(w.ID.Service, w.Template)) * float64(declared))
+	return time.Duration(ratio(p.blendFor(w.ID.Service, w.Template)) * float64(declared))
 }
 
-// whole returns the whole run time of a gang that has run for elapsed.
-func (p *predictor) whole(g *Gang, elapsed time.Duration) time.Duration {
-	declared := max(g.DeclaredRun, shortestRun)
+// totalRun returns the totalRun run time of a gang that has run for elapsed.
+func (p *predictor) totalRun(g *Gang, elapsed time.Duration) time.Duration {
+	declared := max(g.DeclaredRun, minRun)
 	if p.estimates == nil {
 		return max(declared, elapsed+elapsed/4)
 	}
-	return predictFrom(p.blend(g.ID.Service, g.Template).ratios, declared, elapsed, remainQuantile)
+	return predictFrom(p.blendFor(g.ID.Service, g.Template).ratios, declared, elapsed, expectedEndQuantile)
 }
 
-func (p *predictor) blend(service, template string) *blend {
+func (p *predictor) blendFor(service, template string) *blend {
 	k := [2]string{service, template}
 	b := p.blends[k]
 	if b == nil {
-		r := p.estimates.blended(service, template)
+		r := p.estimates.blendedRatios(service, template)
 		b = &blend{r, r.quantile(0, orderQuantile), r.quantile(0, backfillQuantile)}
 		p.blends[k] = b
 	}
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -8,23 +8,23 @@
 func (d *decision) startProbes(queue []*WaitingJob) []*WaitingJob {
 	for i := range d.v.Workers {
 		worker := &d.v.Workers[i]
-		if !worker.Probing || worker.UnavailableReason != "" || d.busy(worker.Name) {
+		if !worker.Probing || worker.UnavailableReason != "" || d.hasRunningTask(worker.Name) {
 			continue
 		}
-		j := slices.IndexFunc(queue, func(w *WaitingJob) bool { return d.probes(w, worker) })
+		j := slices.IndexFunc(queue, func(w *WaitingJob) bool { return d.canProbe(w, worker) })
 		if j < 0 {
 			continue
 		}
 		w := queue[j]
 		d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: []string{worker.Name}})
-		d.use(w.ID.Organisation, w.Team, w.Shape)
+		d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 		queue = slices.Delete(queue, j, j+1)
 	}
 	return queue
 }
 
-// probes reports whether a job can show that a worker is well again.
-func (d *decision) probes(w *WaitingJob, worker *Worker) bool {
+// canProbe reports whether a job can show that a worker is well again.
+func (d *decision) canProbe(w *WaitingJob, worker *Worker) bool {
 	return w.Shape.Tasks == 1 &&
 		w.Shape.AcceleratorsPerTask <= worker.Accelerators &&
 		!w.Urgent &&
@@ -32,7 +32,7 @@
 		!d.overQuota(w)
 }
 
-// busy reports whether any running gang has a task on a worker.
-func (d *decision) busy(name string) bool {
+// hasRunningTask reports whether any running gang has a task on a worker.
+func (d *decision) hasRunningTask(name string) bool {
 	return slices.ContainsFunc(d.v.Running, func(g Gang) bool { return slices.Contains(g.Workers, name) })
 }
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -19,12 +19,12 @@
 		if d.overQuota(w) {
 			continue
 		}
-		place := d.left.Fit(w.Shape, d.avoid(w))
-		if place == nil {
+		placement := d.remaining.Fit(w.Shape, d.avoidFunc(w))
+		if placement == nil {
 			continue
 		}
-		d.left.AllocateAll(place, w.Shape.AcceleratorsPerTask)
-		d.use(w.ID.Organisation, w.Team, w.Shape)
+		d.remaining.AllocateAll(placement, w.Shape.AcceleratorsPerTask)
+		d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 		out = append(out, w.ID)
 	}
 	return out
--- a/placement/quarantine_test.go
+++ b/placement/quarantine_test.go
@@ -15,28 +15,28 @@
 	return job.ID{Organisation: "a", Service: service, Name: fmt.Sprint(n)}
 }
 
-func TestQuarantineBacksOffAndProbes(t *testing.T) {
+func TestQuarantineDoublesBackoffAndProbes(t *testing.T) {
 	q := NewQuarantine()
-	for n := range workerFailures {
+	for n := range jobsToQuarantineWorker {
 		must.Eq(t, "", q.UnavailableReason("w", noon))
 		q.RecordFailure("w", jobID("s", n), "t", 20, noon)
 		q.RecordFailure("w", jobID("s", n), "t", 20, noon) // the same job counts once
 	}
 	must.StrContains(t, q.UnavailableReason("w", noon), "3 different jobs")
-	end := noon.Add(firstBackOff)
+	end := noon.Add(initialBackoff)
 	must.Eq(t, end, q.NextEnd(noon))
 	must.Eq(t, "", q.UnavailableReason("w", end))
 	must.True(t, q.Probing("w", end))
 
 	q.RecordFailure("w", jobID("s", 9), "t", 20, end) // one failure on trial doubles the back-off
-	must.NotEq(t, "", q.UnavailableReason("w", end.Add(2*firstBackOff-1)))
-	end = end.Add(2 * firstBackOff)
+	must.NotEq(t, "", q.UnavailableReason("w", end.Add(2*initialBackoff-1)))
+	end = end.Add(2 * initialBackoff)
 	q.RecordSuccess([]string{"w"}, jobID("s", 10), "t")
 	must.False(t, q.Probing("w", end))
 	must.Eq(t, "", q.UnavailableReason("w", end))
 }
 
-func TestQuarantineBlamesTemplateThatFailsEverywhere(t *testing.T) {
+func TestTemplateFailingOnSeveralWorkersDoesNotQuarantineThem(t *testing.T) {
 	q := NewQuarantine()
 	for n := range 30 {
 		q.RecordFailure(fmt.Sprintf("w%d", n%10), jobID("broken", n), "t", 20, noon)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestQuarantineKeepsMostWorkers(t *testing.T) {
+func TestQuarantineCoversAtMostAQuarterOfWorkers(t *testing.T) {
 	q := NewQuarantine()
 	out := 0
 	for w := range 12 {
@@ -60,7 +60,7 @@
 	must.Eq(t, 3, out)
 }
 
-func TestJobThatFailsOnSeveralWorkersFailsItself(t *testing.T) {
+func TestJobFailsAfterFailuresOnSeveralWorkers(t *testing.T) {
 	q := NewQuarantine()
 	id := jobID("s", 1)
 	for _, w := range []string{"w2", "w1", "w1"} {
@@ -85,5 +85,5 @@
 	v.Waiting[1].Avoid = []string{"w"}
 	p := Decide(v)
 	must.Eq(t, []Start{{ID: jobID("s", 2), Workers: []string{"w"}}}, p.Starts)
-	must.Len(t, 0, Decide(after(v, p)).Starts)
+	must.Len(t, 0, Decide(viewAfter(v, p)).Starts)
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -13,8 +13,8 @@
 // Powers of a job's expected run time and accelerators by which its wait counts
 // for less when jobs are ordered.
 const (
-	runWeight  = 1.5
-	sizeWeight = 1.5
+	runExponent  = 1.5
+	sizeExponent = 1.5
 )
 
 // shareWeight makes a job count as larger by its organisation's share of the
@@ -23,8 +23,8 @@
 
 // Bounds of what one decision reclaims for urgent work outside guarantees.
 const (
-	maxClearings  = 2
-	clearingPause = 200 * time.Millisecond // before the next decision goes on with it
+	maxUrgentReclaimAttempts = 2
+	urgentReclaimInterval    = 200 * time.Millisecond // before the next decision goes on with it
 )
 
 // overdueAfter is the wait after which a job goes before all that are not
@@ -38,14 +38,14 @@
 	overdue bool
 }
 
-// admit holds the jobs that can never run and returns the others in order:
+// admitJobs holds the jobs that can never run and returns the others in order:
 // overdue ones, then those that have waited longest for their work.
-func (d *decision) admit() []*WaitingJob {
+func (d *decision) admitJobs() []*WaitingJob {
 	queue := make([]ranked, 0, len(d.v.Waiting))
 	for i := range d.v.Waiting {
 		w := &d.v.Waiting[i]
-		if reason := d.neverRuns(w.Shape); reason != "" {
-			d.hold(w, reason)
+		if reason := d.infeasibleReason(w.Shape); reason != "" {
+			d.holdJob(w, reason)
 			continue
 		}
 		queue = append(queue, ranked{w, d.score(w), d.overdue(w)})
@@ -62,7 +62,7 @@
 func compareRanked(a, b ranked) int {
 	switch {
 	case a.overdue && b.overdue:
-		return compareAges(a.w, b.w)
+		return compareSubmissions(a.w, b.w)
 	case a.overdue:
 		return -1
 	case b.overdue:
@@ -71,11 +71,11 @@
 	if c := cmp.Compare(b.score, a.score); c != 0 {
 		return c
 	}
-	return compareAges(a.w, b.w)
+	return compareSubmissions(a.w, b.w)
 }
 
-// compareAges orders jobs by submission.
-func compareAges(a, b *WaitingJob) int {
+// compareSubmissions orders jobs by submission.
+func compareSubmissions(a, b *WaitingJob) int {
 	if c := a.Submitted.Compare(b.Submitted); c != 0 {
 		return c
 	}
@@ -89,10 +89,10 @@
 	if d.v.Now.Sub(w.Submitted) < overdueAfter {
 		return false
 	}
-	fits, known := d.beside[w.Shape]
+	fits, known := d.fitsBesideGuarantees[w.Shape]
 	if !known {
-		fits = d.spare(noSlot).Fit(w.Shape, nil) != nil
-		d.beside[w.Shape] = fits
+		fits = d.capacityBesideBacking(noSlot).Fit(w.Shape, nil) != nil
+		d.fitsBesideGuarantees[w.Shape] = fits
 	}
 	return fits
 }
@@ -100,54 +100,54 @@
 // score grows with a job's wait, and falls with its expected run time and its
 // size: little work that has waited long comes first.
 func (d *decision) score(w *WaitingJob) float64 {
-	run := d.predicts.order(w).Seconds()
+	run := d.predictor.orderingRun(w).Seconds()
 	size := float64(max(1, w.Shape.Accelerators()))
-	size *= 1 + shareWeight*float64(d.usage[w.ID.Organisation])/float64(max(1, d.whole().TotalFree()))
+	size *= 1 + shareWeight*float64(d.usage[w.ID.Organisation])/float64(max(1, d.idleCapacity().TotalFree()))
 	waited := max(0, d.v.Now.Sub(w.Submitted).Seconds())
-	return (waited + run*size) / (math.Pow(run, runWeight) * math.Pow(size, sizeWeight))
+	return (waited + run*size) / (math.Pow(run, runExponent) * math.Pow(size, sizeExponent))
 }
 
-// neverRuns tells why a shape fits on no workers here, even on those that are
+// infeasibleReason tells why a shape fits on no workers here, even on those that are
 // unavailable now; empty if it does.
-func (d *decision) neverRuns(s job.Shape) string {
-	reason, known := d.feasible[s]
+func (d *decision) infeasibleReason(s job.Shape) string {
+	reason, known := d.infeasibleReasons[s]
 	if known {
 		return reason
 	}
 	why, remedy := malformed(s)
 	if why == "" {
-		_, why, remedy = feasibleOn(d.whole(), s)
+		_, why, remedy = feasibleOn(d.idleCapacity(), s)
 	}
 	if why != "" {
 		reason = why + "; " + remedy
 	}
-	d.feasible[s] = reason
+	d.infeasibleReasons[s] = reason
 	return reason
 }
 
-// whole returns the capacity of all workers with nothing running, unavailable
+// idleCapacity returns the capacity of all workers with nothing running, unavailable
 // ones included.
-func (d *decision) whole() *topology.Capacity {
-	if d.empty == nil {
-		d.empty = topology.NewCapacity(d.cluster.AllAvailable())
+func (d *decision) idleCapacity() *topology.Capacity {
+	if d.idle == nil {
+		d.idle = topology.NewCapacity(d.cluster.AllAvailable())
 	}
-	return d.empty
+	return d.idle
 }
 
 // overQuota reports whether a job would take its team over its quota.
 func (d *decision) overQuota(w *WaitingJob) bool {
-	q := d.teams[team{w.ID.Organisation, w.Team}]
+	q := d.teams[teamKey{w.ID.Organisation, w.Team}]
 	return q != nil && q.limit > 0 && q.used+w.Shape.Accelerators() > q.limit
 }
 
 func (d *decision) holdForQuota(w *WaitingJob) {
-	t := team{w.ID.Organisation, w.Team}
-	d.hold(w, d.teams[t].reason(t, w.Shape))
+	t := teamKey{w.ID.Organisation, w.Team}
+	d.holdJob(w, d.teams[t].exceededReason(t, w.Shape))
 }
 
-// avoid reports the workers on which a job has failed. They are used all the
+// avoidFunc reports the workers on which a job has failed. They are used all the
 // same when no other workers could ever hold it.
-func (d *decision) avoid(w *WaitingJob) topology.AvoidFunc {
+func (d *decision) avoidFunc(w *WaitingJob) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
 	}
@@ -165,16 +165,16 @@
 // startUrgent starts urgent jobs outside guarantees where accelerators are
 // free, or reclaims from borrowers that are not urgent. It returns the rest.
 func (d *decision) startUrgent(queue []*WaitingJob) []*WaitingJob {
-	urgent := byRight(queue, func(w *WaitingJob) bool { return w.Urgent })
+	urgent := selectByUrgency(queue, func(w *WaitingJob) bool { return w.Urgent })
 	served := map[*WaitingJob]bool{}
 	for _, w := range urgent {
 		served[w] = !d.overQuota(w) && d.serveUrgent(w)
 	}
-	return without(queue, served)
+	return withoutServed(queue, served)
 }
 
-// byRight returns the jobs that match, urgent ones first, then by submission.
-func byRight(queue []*WaitingJob, match func(w *WaitingJob) bool) []*WaitingJob {
+// selectByUrgency returns the jobs that match, urgent ones first, then by submission.
+func selectByUrgency(queue []*WaitingJob, match func(w *WaitingJob) bool) []*WaitingJob {
 	var out []*WaitingJob
 	for _, w := range queue {
 		if match(w) {
@@ -185,13 +185,13 @@
 		if c := compareUrgency(a.Urgent, b.Urgent); c != 0 {
 			return c
 		}
-		return compareAges(a, b)
+		return compareSubmissions(a, b)
 	})
 	return out
 }
 
-// without returns the queue without the jobs that are served.
-func without(queue []*WaitingJob, served map[*WaitingJob]bool) []*WaitingJob {
+// withoutServed returns the queue withoutServed the jobs that are served.
+func withoutServed(queue []*WaitingJob, served map[*WaitingJob]bool) []*WaitingJob {
 	if len(served) == 0 {
 		return queue
 	}
@@ -199,29 +199,29 @@
 }
 
 func (d *decision) serveUrgent(w *WaitingJob) bool {
-	avoid := d.avoid(w)
-	if place := d.free.Fit(w.Shape, avoid); place != nil {
-		d.start(w, place, false)
+	avoid := d.avoidFunc(w)
+	if placement := d.free.Fit(w.Shape, avoid); placement != nil {
+		d.startJob(w, placement, false)
 		return true
 	}
 	if d.noVictims[w.Shape] {
 		return false
 	}
-	if d.cleared++; d.cleared > maxClearings {
-		d.wakeAt(d.v.Now.Add(clearingPause))
+	if d.urgentReclaimAttempts++; d.urgentReclaimAttempts > maxUrgentReclaimAttempts {
+		d.decideAgainAt(d.v.Now.Add(urgentReclaimInterval))
 		return false
 	}
-	choice, ok := d.choose(d.soon, w, avoid, func(b int) bool { return !d.v.Running[d.borrowers[b]].Urgent })
+	choice, ok := d.chooseVictims(d.freeSoon, w, avoid, func(b int) bool { return !d.v.Running[d.borrowers[b]].Urgent })
 	if !ok {
 		d.noVictims[w.Shape] = true
 		return false
 	}
-	d.commit(w, choice, reasonUrgent)
-	d.hold(w, reasonClearing)
+	d.reclaimAndSetAside(w, choice, reasonUrgentWork)
+	d.holdJob(w, reasonUrgentReclaiming)
 	return true
 }
 
-func (d *decision) wakeAt(t time.Time) {
+func (d *decision) decideAgainAt(t time.Time) {
 	if d.plan.DecideAgainAt.IsZero() || t.Before(d.plan.DecideAgainAt) {
 		d.plan.DecideAgainAt = t
 	}
--- a/placement/reasons.go
+++ b/placement/reasons.go
@@ -9,15 +9,15 @@
 
 // Reasons that callers and operators see.
 const (
-	reasonOut        = "operators have taken the failure domain out of service; wait for its return, or submit the job to another one"
-	reasonDrain      = "operators have taken the failure domain out of service; the job goes on from its checkpoint elsewhere"
-	reasonReclaiming = "its organisation's guaranteed accelerators are being reclaimed for it; it starts when the gangs on them have stopped"
-	reasonClearing   = "accelerators are being reclaimed for it as it is urgent; it starts when the gangs on them have stopped, unless work within a guarantee needs them"
-	reasonMove       = "it is moved, or paused, for a job that this saves more waiting than it costs; it goes on from its checkpoint"
-	reasonUrgent     = "urgent work needs its accelerators"
+	reasonOut                  = "operators have taken the failure domain out of service; wait for its return, or submit the job to another one"
+	reasonDrain                = "operators have taken the failure domain out of service; the job goes on from its checkpoint elsewhere"
+	reasonGuaranteedReclaiming = "its organisation's guaranteed accelerators are being reclaimed for it; it starts when the gangs on them have stopped"
+	reasonUrgentReclaiming     = "accelerators are being reclaimed for it as it is urgent; it starts when the gangs on them have stopped, unless work within a guarantee needs them"
+	reasonDisplaced            = "it is moved, or paused, for a job that this saves more waiting than it costs; it goes on from its checkpoint"
+	reasonUrgentWork           = "urgent work needs its accelerators"
 )
 
-func (q *quotaUse) reason(t team, s job.Shape) string {
+func (q *quotaUse) exceededReason(t teamKey, s job.Shape) string {
 	return fmt.Sprintf("team %s uses %d of its quota of %d accelerators, and the job needs %d; wait for the team's jobs, or ask for a larger quota",
 		t.name, q.used, q.limit, s.Accelerators())
 }
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -12,44 +12,44 @@
 
 // replay runs a trace through a policy in virtual time.
 type replay struct {
-	size                   traceSize
-	decide                 func(View) Plan
-	oracle                 bool // tell the policy the true run times
-	pulls                  bool // failure domains with room take held jobs of others
-	now                    time.Time
-	events                 eventQueue
-	domains                []*replayDomain
-	est                    *Estimates
-	jobs                   []*replayJob
-	outAt                  time.Time // zero: no failure domain leaves
-	backAt                 time.Time
-	windowEnd              time.Time
-	work, possible, wanted float64 // accelerator-seconds within the window
-	fragmented, fragFor    float64
-	decisions              int
-	reclaims, wasted       int
+	size                                 traceSize
+	decide                               func(View) Plan
+	oracle                               bool // tell the policy the true run times
+	pullsJobs                            bool // failure domains with room take held jobs of others
+	now                                  time.Time
+	events                               eventQueue
+	domains                              []*replayDomain
+	estimates                            *Estimates
+	jobs                                 []*replayJob
+	outAt                                time.Time // zero: no failure domain leaves
+	backAt                               time.Time
+	windowEnd                            time.Time
+	doneWork, capacityWork, demandedWork float64 // accelerator-seconds within the window
+	fragmentationSum, fragmentedSeconds  float64
+	decisions                            int
+	reclaims, wasted                     int
 }
 
 type replayDomain struct {
-	workers []Worker
-	holds   func(job.Shape) bool
-	size    int // accelerators
-	out     bool
-	running []*replayJob
-	waiting []*replayJob
-	load    float64 // predicted accelerator-seconds of its jobs
-	dirty   bool
+	workers       []Worker
+	feasible      func(job.Shape) bool
+	size          int // accelerators
+	out           bool
+	running       []*replayJob
+	waiting       []*replayJob
+	load          float64 // predicted accelerator-seconds of its jobs
+	needsDecision bool
 }
 
 type replayJob struct {
 	traceJob
-	fd                int
-	gang              Gang
-	generation        int
-	done              time.Duration // progress kept
-	overhead          time.Duration // of this start
-	predicted         float64
-	first, end, moved time.Time
+	fd                     int
+	gang                   Gang
+	generation             int
+	savedProgress          time.Duration // progress kept
+	restartOverhead        time.Duration // of this start
+	predicted              float64
+	firstStart, end, moved time.Time
 }
 
 type event struct {
@@ -62,12 +62,12 @@
 type eventKind int
 
 const (
-	arrival eventKind = iota
-	finish
-	stopped
-	leave
-	comeBack
-	wake
+	jobSubmitted eventKind = iota
+	gangFinished
+	gangStopped
+	domainLeaves
+	domainReturns
+	decisionDue
 )
 
 type eventQueue []event
@@ -84,21 +84,21 @@
 }
 
 const (
-	replayGrace     = time.Minute
-	replayRestart   = 2 * time.Minute
-	replayMovePause = 10 * time.Minute
+	replayStopTime        = time.Minute
+	replayRestartOverhead = 2 * time.Minute
+	replayMoveInterval    = 10 * time.Minute
 )
 
 func newReplay(size traceSize, trace []traceJob, decide func(View) Plan) *replay {
-	r := &replay{size: size, decide: decide, est: NewEstimates()}
+	r := &replay{size: size, decide: decide, estimates: NewEstimates()}
 	for fd := range size.workers {
 		ws := size.cluster(fd)
-		r.domains = append(r.domains, &replayDomain{workers: ws, holds: feasibleIn(ws), size: accelerators(ws)})
+		r.domains = append(r.domains, &replayDomain{workers: ws, feasible: feasibleIn(ws), size: accelerators(ws)})
 	}
 	for _, t := range trace {
 		j := &replayJob{traceJob: t}
 		r.jobs = append(r.jobs, j)
-		heap.Push(&r.events, event{at: t.Submitted, kind: arrival, job: j})
+		heap.Push(&r.events, event{at: t.Submitted, kind: jobSubmitted, job: j})
 	}
 	return r
 }
@@ -108,14 +108,14 @@
 	r.outAt = time.Time{}.Add(r.size.span / 2)
 	r.backAt = r.outAt.Add(6 * time.Hour)
 	r.windowEnd = r.backAt.Add(2 * time.Hour)
-	heap.Push(&r.events, event{at: r.outAt, kind: leave})
-	heap.Push(&r.events, event{at: r.backAt, kind: comeBack})
-	heap.Push(&r.events, event{at: r.windowEnd, kind: wake})
+	heap.Push(&r.events, event{at: r.outAt, kind: domainLeaves})
+	heap.Push(&r.events, event{at: r.backAt, kind: domainReturns})
+	heap.Push(&r.events, event{at: r.windowEnd, kind: decisionDue})
 }
 
 func (r *replay) run() {
 	for len(r.events) > 0 {
-		r.account(r.events[0].at)
+		r.accumulate(r.events[0].at)
 		r.now = r.events[0].at
 		for len(r.events) > 0 && r.events[0].at.Equal(r.now) {
 			r.handle(heap.Pop(&r.events).(event))
@@ -130,8 +130,8 @@
 
 func (r *replay) decideAll() {
 	for fd, d := range r.domains {
-		if d.dirty {
-			d.dirty = false
+		if d.needsDecision {
+			d.needsDecision = false
 			r.apply(fd, r.decide(r.view(d)))
 		}
 	}
@@ -140,7 +140,7 @@
 // pull moves jobs that other failure domains hold to one that could start them.
 func (r *replay) pull(fd int) {
 	d := r.domains[fd]
-	if !r.pulls || d.out {
+	if !r.pullsJobs || d.out {
 		return
 	}
 	var offered []WaitingJob
@@ -150,7 +150,7 @@
 			continue
 		}
 		for _, j := range from.waiting {
-			if r.now.Sub(j.moved) >= replayMovePause {
+			if r.now.Sub(j.moved) >= replayMoveInterval {
 				offered = append(offered, j.WaitingJob)
 				byID[j.ID] = j
 			}
@@ -165,60 +165,60 @@
 		d.load += j.predicted
 		j.fd, j.moved = fd, r.now
 		d.waiting = append(d.waiting, j)
-		d.dirty = true
+		d.needsDecision = true
 	}
 }
 
 func (r *replay) handle(e event) {
 	switch e.kind {
-	case arrival:
+	case jobSubmitted:
 		r.submit(e.job)
-	case finish:
+	case gangFinished:
 		if e.job.generation == e.generation && !e.job.gang.Stopping {
 			r.finish(e.job)
 		}
-	case stopped:
+	case gangStopped:
 		r.stop(e.job)
-	case leave:
+	case domainLeaves:
 		r.domains[0].out = true
 		r.reroute(r.domains[0])
-	case comeBack:
+	case domainReturns:
 		r.domains[0].out = false
 		for _, d := range r.domains {
 			r.reroute(d)
 		}
-	case wake:
+	case decisionDue:
 		for _, d := range r.domains {
-			d.dirty = true
+			d.needsDecision = true
 		}
 	}
 }
 
 func (r *replay) submit(j *replayJob) {
 	if r.oracle {
-		j.DeclaredRun = j.run
+		j.DeclaredRun = j.trueRun
 	}
-	run := r.est.Predict(j.ID.Service, j.Template, j.DeclaredRun, .5)
+	run := r.estimates.Predict(j.ID.Service, j.Template, j.DeclaredRun, .5)
 	if r.oracle {
-		run = j.run
+		run = j.trueRun
 	}
 	j.predicted = run.Seconds() * float64(j.Shape.Accelerators())
 	best := math.Inf(1)
 	for fd, d := range r.domains {
-		if l := d.load / float64(d.size); !d.out && l < best && d.holds(j.Shape) {
+		if l := d.load / float64(d.size); !d.out && l < best && d.feasible(j.Shape) {
 			best, j.fd = l, fd
 		}
 	}
 	d := r.domains[j.fd]
 	d.load += j.predicted
 	d.waiting = append(d.waiting, j)
-	d.dirty = true
+	d.needsDecision = true
 }
 
 func (r *replay) reroute(d *replayDomain) {
 	jobs := d.waiting
 	d.waiting = nil
-	d.dirty = true
+	d.needsDecision = true
 	for _, j := range jobs {
 		d.load -= j.predicted
 	}
@@ -227,28 +227,28 @@
 	}
 }
 
-func (r *replay) leaveRunning(j *replayJob) *replayDomain {
+func (r *replay) removeRunning(j *replayJob) *replayDomain {
 	d := r.domains[j.fd]
 	d.running = slices.DeleteFunc(d.running, func(o *replayJob) bool { return o == j })
 	d.load -= j.predicted
-	d.dirty = true
+	d.needsDecision = true
 	return d
 }
 
 func (r *replay) finish(j *replayJob) {
-	r.leaveRunning(j)
+	r.removeRunning(j)
 	j.end = r.now
-	r.est.Observe(j.ID.Service, j.Template, j.DeclaredRun, j.run)
+	r.estimates.Observe(j.ID.Service, j.Template, j.DeclaredRun, j.trueRun)
 }
 
 func (r *replay) stop(j *replayJob) {
-	r.leaveRunning(j)
+	r.removeRunning(j)
 	j.gang = Gang{}
 	r.submit(j)
 }
 
 func (r *replay) view(d *replayDomain) View {
-	v := View{Now: r.now, Out: d.out, Workers: d.workers, Guarantees: r.size.guarantees(), Estimates: r.est}
+	v := View{Now: r.now, Out: d.out, Workers: d.workers, Guarantees: r.size.guarantees(), Estimates: r.estimates}
 	if r.oracle {
 		v.Estimates = nil
 	}
@@ -277,7 +277,7 @@
 		r.reclaim(d.running[i])
 	}
 	if !p.DecideAgainAt.IsZero() {
-		heap.Push(&r.events, event{at: p.DecideAgainAt, kind: wake})
+		heap.Push(&r.events, event{at: p.DecideAgainAt, kind: decisionDue})
 	}
 }
 
@@ -286,33 +286,33 @@
 		ID: j.ID, Template: j.Template, Shape: j.Shape, Workers: s.Workers, Urgent: j.Urgent,
 		Checkpoint: j.Checkpoint, Guaranteed: s.Guaranteed, Started: r.now, DeclaredRun: j.DeclaredRun,
 	}
-	if j.first.IsZero() {
-		j.first = r.now
+	if j.firstStart.IsZero() {
+		j.firstStart = r.now
 	}
 	d.running = append(d.running, j)
-	heap.Push(&r.events, event{at: r.now.Add(j.overhead + j.run - j.done), kind: finish, job: j, generation: j.generation})
+	heap.Push(&r.events, event{at: r.now.Add(j.restartOverhead + j.trueRun - j.savedProgress), kind: gangFinished, job: j, generation: j.generation})
 }
 
 func (r *replay) reclaim(j *replayJob) {
 	r.reclaims++
-	progress := max(0, r.now.Sub(j.gang.Started)-j.overhead)
+	progress := max(0, r.now.Sub(j.gang.Started)-j.restartOverhead)
 	if j.Checkpoint {
-		j.done += progress
-		j.overhead = replayRestart
+		j.savedProgress += progress
+		j.restartOverhead = replayRestartOverhead
 	} else {
 		r.wasted++
 		if !r.outAt.IsZero() && !r.now.Before(r.outAt) && !r.now.After(r.windowEnd) {
 			since := min(progress, r.now.Sub(r.outAt))
-			r.work -= since.Seconds() * float64(j.Shape.Accelerators())
+			r.doneWork -= since.Seconds() * float64(j.Shape.Accelerators())
 		}
 	}
 	j.gang.Stopping = true
 	j.generation++
-	heap.Push(&r.events, event{at: r.now.Add(replayGrace), kind: stopped, job: j})
+	heap.Push(&r.events, event{at: r.now.Add(replayStopTime), kind: gangStopped, job: j})
 }
 
-// account sums up what holds from now until the next event.
-func (r *replay) account(until time.Time) {
+// accumulate sums up what holds from now until the next event.
+func (r *replay) accumulate(until time.Time) {
 	dt := until.Sub(r.now).Seconds()
 	inWindow := !r.outAt.IsZero() && !r.now.Before(r.outAt) && r.now.Before(r.windowEnd)
 	capacity, demand := 0, 0
@@ -320,17 +320,17 @@
 		if inWindow && !d.out {
 			capacity += d.size
 			demand += d.demand()
-			r.work += dt * float64(d.working(r.now))
+			r.doneWork += dt * float64(d.working(r.now))
 		}
 		if r.now.Before(time.Time{}.Add(r.size.span)) && !d.out && dt > 0 {
 			if f, ok := fragmentation(d, r.size.guarantees()); ok {
-				r.fragmented += f * dt
-				r.fragFor += dt
+				r.fragmentationSum += f * dt
+				r.fragmentedSeconds += dt
 			}
 		}
 	}
-	r.possible += dt * float64(capacity)
-	r.wanted += dt * float64(min(capacity, demand))
+	r.capacityWork += dt * float64(capacity)
+	r.demandedWork += dt * float64(min(capacity, demand))
 }
 
 // demand returns the accelerators that a failure domain's jobs could keep busy.
@@ -349,7 +349,7 @@
 func (d *replayDomain) working(now time.Time) int {
 	n := 0
 	for _, j := range d.running {
-		if !j.gang.Stopping && now.Sub(j.gang.Started) >= j.overhead {
+		if !j.gang.Stopping && now.Sub(j.gang.Started) >= j.restartOverhead {
 			n += j.Shape.Accelerators()
 		}
 	}
@@ -376,51 +376,51 @@
 			largest = j.Shape
 		}
 	}
-	for place := k.Fit(largest, nil); place != nil; place = k.Fit(largest, nil) {
-		k.AllocateAll(place, largest.AcceleratorsPerTask)
+	for placement := k.Fit(largest, nil); placement != nil; placement = k.Fit(largest, nil) {
+		k.AllocateAll(placement, largest.AcceleratorsPerTask)
 	}
 	return float64(k.TotalFree()) / float64(free), true
 }
 
 // replayResult is what one replay measured.
 type replayResult struct {
-	mean, p95  float64       // completion over mean run
-	small      float64       // mean completion over mean run of gangs under 16 accelerators
-	largest    time.Duration // longest wait of a gang of the largest size
-	fragmented float64
-	work       float64 // share of what the accelerators in service could do in the window
-	ofWanted   float64 // share of what they could do with the jobs there were
+	meanCompletion, p95Completion float64       // completion over mean run
+	smallMean                     float64       // mean completion over mean run of gangs under 16 accelerators
+	longestWaitOfLargest          time.Duration // longest wait of a gang of the largest size
+	fragmented                    float64
+	workOfCapacity                float64 // share of what the accelerators in service could do in the window
+	workOfDemand                  float64 // share of what they could do with the jobs there were
 }
 
 func (r *replay) result() replayResult {
 	var runs, completions, smallRuns, small []float64
 	var out replayResult
-	most := 0
+	largestShape := 0
 	for _, j := range r.jobs {
-		most = max(most, j.Shape.Accelerators())
+		largestShape = max(largestShape, j.Shape.Accelerators())
 	}
 	for _, j := range r.jobs {
 		if j.end.IsZero() {
 			panic("job never ended: " + j.ID.String())
 		}
 		c := j.end.Sub(j.Submitted).Seconds()
-		runs = append(runs, j.run.Seconds())
+		runs = append(runs, j.trueRun.Seconds())
 		completions = append(completions, c)
 		if j.Shape.Accelerators() < 16 {
 			small = append(small, c)
-			smallRuns = append(smallRuns, j.run.Seconds())
+			smallRuns = append(smallRuns, j.trueRun.Seconds())
 		}
-		if j.Shape.Accelerators() == most {
-			out.largest = max(out.largest, j.first.Sub(j.Submitted))
+		if j.Shape.Accelerators() == largestShape {
+			out.longestWaitOfLargest = max(out.longestWaitOfLargest, j.firstStart.Sub(j.Submitted))
 		}
 	}
-	out.mean = average(completions) / average(runs)
-	out.small = average(small) / average(smallRuns)
+	out.meanCompletion = average(completions) / average(runs)
+	out.smallMean = average(small) / average(smallRuns)
 	slices.Sort(completions)
-	out.p95 = completions[len(completions)*95/100] / average(runs)
-	out.fragmented = r.fragmented / r.fragFor
-	out.work = r.work / r.possible
-	out.ofWanted = r.work / r.wanted
+	out.p95Completion = completions[len(completions)*95/100] / average(runs)
+	out.fragmented = r.fragmentationSum / r.fragmentedSeconds
+	out.workOfCapacity = r.doneWork / r.capacityWork
+	out.workOfDemand = r.doneWork / r.demandedWork
 	return out
 }
 
--- a/placement/trace_test.go
+++ b/placement/trace_test.go
@@ -14,26 +14,26 @@
 
 type traceJob struct {
 	WaitingJob
-	run time.Duration // true run time
+	trueRun time.Duration // true run time
 }
 
 type traceTemplate struct {
-	organisation, service, name string
-	median, bias                float64
+	organisation, service, name     string
+	medianRunSeconds, declaredRatio float64
 }
 
 type traceSize struct {
-	name    string
-	workers []int // of each failure domain
-	span    time.Duration
-	wide    bool // letter1: workers of three sizes
+	name         string
+	workers      []int // of each failure domain
+	span         time.Duration
+	mixedWorkers bool // letter1: workers of three sizes
 }
 
 var (
-	usersOne    = traceSize{"users-one", []int{13}, 14 * 24 * time.Hour, false}
-	usersWhole  = traceSize{"users-whole", []int{13, 13, 12, 12}, 14 * 24 * time.Hour, false}
-	letterOne   = traceSize{"letter1-one", []int{243}, 3 * 24 * time.Hour, true}
-	letterWhole = traceSize{"letter1-whole", []int{243, 243, 242, 242}, 2 * 24 * time.Hour, true}
+	uniformOne = traceSize{"users-one", []int{13}, 14 * 24 * time.Hour, false}
+	uniformAll = traceSize{"users-whole", []int{13, 13, 12, 12}, 14 * 24 * time.Hour, false}
+	mixedOne   = traceSize{"letter1-one", []int{243}, 3 * 24 * time.Hour, true}
+	mixedAll   = traceSize{"letter1-whole", []int{243, 243, 242, 242}, 2 * 24 * time.Hour, true}
 )
 
 func (s traceSize) cluster(fd int) []Worker {
@@ -41,7 +41,7 @@
 	for i := range out {
 		rack := i / 6
 		out[i] = Worker{Name: fmt.Sprintf("w%03d", i), Rack: fmt.Sprintf("r%02d", rack), Accelerators: 8}
-		if s.wide {
+		if s.mixedWorkers {
 			out[i].Accelerators = [...]int{8, 4, 4, 1, 1, 1, 1, 1, 1, 1}[rack%10]
 		}
 	}
@@ -50,7 +50,7 @@
 
 func (s traceSize) guarantees() []Guarantee {
 	per, count := 8, 1
-	if s.wide {
+	if s.mixedWorkers {
 		per, count = 4, 2
 	}
 	shape := func(tasks int, a job.Adjacency) job.Shape {
@@ -103,11 +103,11 @@
 		for service := range 3 {
 			for name := range 2 {
 				out = append(out, traceTemplate{
-					organisation: fmt.Sprintf("org%d", org),
-					service:      fmt.Sprintf("service%d-%d", org, service),
-					name:         fmt.Sprintf("template%d", name),
-					median:       3600 * math.Exp(r.NormFloat64()),
-					bias:         math.Exp((2*r.Float64() - 1) * math.Log(5)),
+					organisation:     fmt.Sprintf("org%d", org),
+					service:          fmt.Sprintf("service%d-%d", org, service),
+					name:             fmt.Sprintf("template%d", name),
+					medianRunSeconds: 3600 * math.Exp(r.NormFloat64()),
+					declaredRatio:    math.Exp((2*r.Float64() - 1) * math.Log(5)),
 				})
 			}
 		}
@@ -127,10 +127,10 @@
 	for fd := range size.workers {
 		total += accelerators(size.cluster(fd))
 	}
-	work := load * float64(total) * size.span.Seconds()
-	holds := feasibleIn(size.cluster(0))
+	remainingWork := load * float64(total) * size.span.Seconds()
+	feasible := feasibleIn(size.cluster(0))
 	var out []traceJob
-	for work > 0 {
+	for remainingWork > 0 {
 		t := templates[6*pick(r, .40, .30, .15, .15)+r.IntN(6)]
 		at := seconds(r.Float64() * size.span.Seconds())
 		count := 1
@@ -138,9 +138,9 @@
 			count = 4 + r.IntN(29)
 		}
 		for range count {
-			j := drawJob(r, t, holds, len(out))
+			j := drawJob(r, t, feasible, len(out))
 			j.Submitted = time.Time{}.Add(at)
-			work -= j.run.Seconds() * float64(j.Shape.Accelerators())
+			remainingWork -= j.trueRun.Seconds() * float64(j.Shape.Accelerators())
 			out = append(out, j)
 		}
 	}
@@ -161,14 +161,14 @@
 	}
 }
 
-func drawJob(r *rand.Rand, t traceTemplate, holds func(job.Shape) bool, n int) traceJob {
-	run := clamp(t.median*math.Exp(r.NormFloat64()), 60, 48*3600)
-	declared := clamp(run*t.bias*math.Exp(.8*r.NormFloat64()), run/10, run*10)
+func drawJob(r *rand.Rand, t traceTemplate, feasible func(job.Shape) bool, n int) traceJob {
+	run := clamp(t.medianRunSeconds*math.Exp(r.NormFloat64()), 60, 48*3600)
+	declared := clamp(run*t.declaredRatio*math.Exp(.8*r.NormFloat64()), run/10, run*10)
 	shape := drawShape(r)
-	for !holds(shape) {
+	for !feasible(shape) {
 		shape = drawShape(r)
 	}
-	return traceJob{run: seconds(run), WaitingJob: WaitingJob{
+	return traceJob{trueRun: seconds(run), WaitingJob: WaitingJob{
 		ID:          job.ID{Organisation: t.organisation, Service: t.service, Name: fmt.Sprintf("job%06d", n)},
 		Template:    t.name,
 		Shape:       shape,
