--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -17,7 +17,7 @@
 type Assignment struct {
 	slots       []Slot
 	claims      []Claim
-	claimBySlot []int            // index in claims of the claim that uses each slot; noClaim if unused
+	claimBySlot []int            // index in claims of the claim that uses each slot; unused: noClaim (-1)
 	byOrg       map[string][]int // indices of each organisation's slots, smallest shape first
 	unusedCount map[string]int   // number of unused slots of each organisation
 }
@@ -51,51 +51,51 @@
 }
 
 // Slots returns every slot. Callers must not change it.
-func (b *Assignment) Slots() []Slot { return b.slots }
+func (a *Assignment) Slots() []Slot { return a.slots }
 
 // Unused reports whether no claim uses the slot.
-func (b *Assignment) Unused(slot int) bool { return b.claimBySlot[slot] == noClaim }
+func (a *Assignment) Unused(slot int) bool { return a.claimBySlot[slot] == noClaim }
 
 // FindSlot returns the slot that would become used if the claim were added,
 // without adding it. Earlier claims keep a slot, though not always the same one.
-func (b *Assignment) FindSlot(c Claim) (slot int, ok bool) {
-	return b.augment(c, nil)
+func (a *Assignment) FindSlot(c Claim) (slot int, ok bool) {
+	return a.augment(c, nil)
 }
 
 // AddClaim adds a claim and returns the slot that became used. It adds nothing
 // and returns false if the organisation has no slot for the claim.
-func (b *Assignment) AddClaim(c Claim) (slot int, ok bool) {
-	b.claims = append(b.claims, c)
-	slot, ok = b.augment(c, b.setClaim)
+func (a *Assignment) AddClaim(c Claim) (slot int, ok bool) {
+	a.claims = append(a.claims, c)
+	slot, ok = a.augment(c, a.setClaim)
 	if !ok {
-		b.claims = b.claims[:len(b.claims)-1]
+		a.claims = a.claims[:len(a.claims)-1]
 		return slot, false
 	}
-	b.unusedCount[c.Organisation]--
+	a.unusedCount[c.Organisation]--
 	return slot, true
 }
 
-func (b *Assignment) setClaim(slot, claim int) { b.claimBySlot[slot] = claim }
+func (a *Assignment) setClaim(slot, claim int) { a.claimBySlot[slot] = claim }
 
 // augment searches for an augmenting path from the claim to an unused slot, and
 // calls assign, if not nil, for each slot on the path. It fails only if no
 // assignment of slots serves the claim together with all earlier ones.
-func (b *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
-	if b.unusedCount[c.Organisation] == 0 {
+func (a *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
+	if a.unusedCount[c.Organisation] == 0 {
 		return 0, false
 	}
 	seen := map[int]bool{}
 	var visit func(c Claim, id int) bool
 	visit = func(c Claim, id int) bool {
-		for _, s := range b.byOrg[c.Organisation] {
-			if seen[s] || !c.Fits(b.slots[s].Shape) {
+		for _, s := range a.byOrg[c.Organisation] {
+			if seen[s] || !c.Fits(a.slots[s].Shape) {
 				continue
 			}
 			seen[s] = true
-			h := b.claimBySlot[s]
+			h := a.claimBySlot[s]
 			if h == noClaim {
 				end = s
-			} else if !visit(b.claims[h], h) {
+			} else if !visit(a.claims[h], h) {
 				continue
 			}
 			if assign != nil {
@@ -105,6 +105,6 @@
 		}
 		return false
 	}
-	ok = visit(c, len(b.claims)-1)
+	ok = visit(c, len(a.claims)-1)
 	return end, ok
 }
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -29,40 +29,40 @@
 // PlanBacking assigns accelerators to the given slots. The capacity k is what
 // non-reclaimable work leaves free; it is not changed. If no plan is found that
 // backs all slots, the result is that of the greedy order that backs the most.
-func (b *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
-	best := b.packGreedily(k, slots, hardestFirst)
+func (a *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
+	best := a.packGreedily(k, slots, hardestFirst)
 	for _, order := range []slotOrder{largestFirst, racksFirst} {
 		if len(best.unbacked) == 0 {
 			return best
 		}
-		if p := b.packGreedily(k, slots, order); len(p.unbacked) < len(best.unbacked) {
+		if p := a.packGreedily(k, slots, order); len(p.unbacked) < len(best.unbacked) {
 			best = p
 		}
 	}
-	if len(best.unbacked) == 0 || b.accelerators(slots) > k.TotalFree() {
+	if len(best.unbacked) == 0 || a.accelerators(slots) > k.TotalFree() {
 		return best
 	}
-	if p := b.packExhaustively(k, slots); p != nil {
+	if p := a.packExhaustively(k, slots); p != nil {
 		return p
 	}
 	return best
 }
 
 // UnusedSlots returns the slots that no claim uses, except the given one.
-func (b *Assignment) UnusedSlots(without int) []int {
+func (a *Assignment) UnusedSlots(without int) []int {
 	var out []int
-	for s := range b.slots {
-		if b.Unused(s) && s != without {
+	for s := range a.slots {
+		if a.Unused(s) && s != without {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func (b *Assignment) accelerators(slots []int) int {
+func (a *Assignment) accelerators(slots []int) int {
 	n := 0
 	for _, s := range slots {
-		n += b.slots[s].Shape.Accelerators()
+		n += a.slots[s].Shape.Accelerators()
 	}
 	return n
 }
@@ -98,11 +98,11 @@
 }
 
 // packGreedily backs the slots one at a time in the given order.
-func (b *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
+func (a *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
 	k = k.Clone()
 	p := &Backing{placements: make(map[int][]int, len(slots))}
-	for _, s := range b.sorted(slots, order) {
-		shape := b.slots[s].Shape
+	for _, s := range a.sorted(slots, order) {
+		shape := a.slots[s].Shape
 		placement := k.Fit(shape, nil)
 		if placement == nil {
 			p.unbacked = append(p.unbacked, s)
@@ -114,19 +114,19 @@
 	return p
 }
 
-func (b *Assignment) sorted(slots []int, order slotOrder) []int {
+func (a *Assignment) sorted(slots []int, order slotOrder) []int {
 	slots = slices.Clone(slots)
-	slices.SortStableFunc(slots, func(x, y int) int { return order(b.slots[x].Shape, b.slots[y].Shape) })
+	slices.SortStableFunc(slots, func(x, y int) int { return order(a.slots[x].Shape, a.slots[y].Shape) })
 	return slots
 }
 
 // packExhaustively tries every way to back all slots, task by task, for at most
 // maxSearchSteps steps. It returns nil if it finds none.
-func (b *Assignment) packExhaustively(k *topology.Capacity, slots []int) *Backing {
+func (a *Assignment) packExhaustively(k *topology.Capacity, slots []int) *Backing {
 	s := &searcher{k: k.Clone(), stepsLeft: maxSearchSteps}
-	order := b.sorted(slots, hardestFirst)
+	order := a.sorted(slots, hardestFirst)
 	for _, slot := range order {
-		s.shapes = append(s.shapes, normalise(b.slots[slot].Shape))
+		s.shapes = append(s.shapes, normalise(a.slots[slot].Shape))
 	}
 	s.placements = make([][]int, len(order))
 	if !s.placeShape(0) {
@@ -135,7 +135,7 @@
 	p := &Backing{placements: make(map[int][]int, len(order))}
 	for i, slot := range order {
 		p.placements[slot] = s.placements[i]
-		if tasks := b.slots[slot].Shape.Tasks; tasks != len(s.placements[i]) {
+		if tasks := a.slots[slot].Shape.Tasks; tasks != len(s.placements[i]) {
 			p.placements[slot] = slices.Repeat(s.placements[i], tasks)
 		}
 	}
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -163,7 +163,7 @@
 	return gained
 }
 
-// rankedBorrower is a borrower and its cost for each accelerator freed.
+// rankedBorrower is a borrower with its cost for each accelerator freed.
 type rankedBorrower struct {
 	borrower           int
 	costPerAccelerator float64
--- a/placement/backfill.go
+++ b/placement/backfill.go
@@ -10,43 +10,43 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Reservations for jobs that do not fit now.
+// Parameters of reservations for jobs that do not fit now.
 const (
 	maxReservations  = 1
-	expectedStopTime = time.Minute // time in which a stopping gang is expected to end
+	expectedStopTime = time.Minute // time within which a stopping gang is expected to end
 )
 
-// reservation keeps a place for a blocked job from a time on.
+// reservation keeps a placement for a blocked job from a time on.
 type reservation struct {
 	from      time.Time
 	placement []int
 	shape     job.Shape
 }
 
-// backfill starts jobs so that none that runs on into a reservation takes its
-// accelerators.
+// backfill starts jobs around the reservations: a job that would still run when a
+// reservation begins gets none of its accelerators.
 type backfill struct {
 	d               *decision
-	reservations    []reservation // by time
-	levels          []*level      // what is free beside the first n reservations
-	gangEnds        []gangEnd     // running gangs by expected end
-	shortageReasons map[job.Shape]string
+	reservations    []reservation        // sorted by time
+	levels          []*level             // levels[n]: what is free beside the first n reservations
+	gangEnds        []gangEnd            // running gangs by expected end; nil until first needed
+	shortageReasons map[job.Shape]string // hold reasons by shape
 }
 
-// level is what is free for jobs that respect some of the reservations.
+// level is the capacity that is free beside some of the reservations.
 type level struct {
 	free       *topology.Capacity
 	doesNotFit map[job.Shape]bool // shapes that are known not to fit
 }
 
-// gangEnd is when a running gang is expected to free its accelerators.
+// gangEnd is the time at which a running gang is expected to free its accelerators.
 type gangEnd struct {
 	at   time.Time
 	gang int
 }
 
-// startWithBackfill starts jobs in order where they fit, and reserves places for the
-// first ones that do not.
+// startWithBackfill starts jobs in order where they fit, and makes reservations for
+// the first ones that do not.
 func (d *decision) startWithBackfill(queue []*WaitingJob) {
 	b := &backfill{d: d, shortageReasons: map[job.Shape]string{}}
 	b.rebuildLevels()
@@ -60,6 +60,7 @@
 	d.remaining = b.levels[len(b.levels)-1].free
 }
 
+// serveJob starts or holds a job.
 func (b *backfill) serveJob(w *WaitingJob) {
 	avoid := b.d.avoidFunc(w)
 	if b.fitBeside(0, w, avoid) == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// fitBeside finds a place beside the first n reservations.
+// fitBeside finds a placement beside the first n reservations.
 func (b *backfill) fitBeside(n int, w *WaitingJob, avoid topology.AvoidFunc) []int {
 	l := b.levels[n]
 	if l.doesNotFit[w.Shape] {
@@ -91,7 +92,8 @@
 	return placement
 }
 
-// reservationsWithin returns how many reservations begin before the job would end.
+// reservationsWithin returns how many reservations begin before the job is expected
+// to end.
 func (b *backfill) reservationsWithin(w *WaitingJob) int {
 	if len(b.reservations) == 0 {
 		return 0
@@ -101,7 +103,8 @@
 	return sort.Search(len(b.reservations), func(i int) bool { return !b.reservations[i].from.Before(end) })
 }
 
-// holdBlocked holds a job, and reserves a place for it if there are few reservations.
+// holdBlocked holds a job that does not fit, and makes a reservation for it if there
+// are fewer than maxReservations.
 func (b *backfill) holdBlocked(w *WaitingJob, avoid topology.AvoidFunc) {
 	if len(b.reservations) >= maxReservations {
 		b.d.holdJob(w, b.cachedShortageReason(w.Shape))
@@ -131,8 +134,8 @@
 	return r
 }
 
-// reserve finds the earliest time at which the job is expected to fit, and
-// where. The time is the end of the last gang that must end before.
+// reserve finds the earliest time at which the job is expected to fit, and its
+// placement. The time is the expected end of the last gang that must end first.
 func (b *backfill) reserve(w *WaitingJob, avoid topology.AvoidFunc) (reservation, bool) {
 	if b.gangEnds == nil {
 		b.gangEnds = b.d.expectedEnds()
@@ -147,8 +150,8 @@
 	return reservation{from: b.gangEnds[needed].at, placement: placement, shape: w.Shape}, true
 }
 
-// freeAfter returns what is free beside all reservations once the first n
-// gangs have ended.
+// freeAfter returns what is free beside all reservations once the first n gangs of
+// gangEnds have ended.
 func (b *backfill) freeAfter(n int) *topology.Capacity {
 	k := b.levels[len(b.levels)-1].free.Clone()
 	for _, e := range b.gangEnds[:n] {
@@ -157,7 +160,7 @@
 	return k
 }
 
-// rebuildLevels makes the levels anew for the present reservations.
+// rebuildLevels computes the levels for the present reservations.
 func (b *backfill) rebuildLevels() {
 	b.levels = []*level{{free: b.d.free, doesNotFit: map[job.Shape]bool{}}}
 	for i, r := range b.reservations {
--- a/placement/baseline_test.go
+++ b/placement/baseline_test.go
@@ -7,7 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// fifoFirstFit is the baseline: strict order of submission, first place by name.
+// fifoFirstFit is the baseline policy: jobs strictly in order of submission, each on
+// the first workers in name order.
 func fifoFirstFit(v View) Plan {
 	var p Plan
 	if v.Out {
@@ -38,7 +39,7 @@
 	return p
 }
 
-// firstFit takes the first workers in name order.
+// firstFit returns the first workers in name order that have room for a shape.
 func firstFit(k *topology.Capacity, s job.Shape) []int {
 	var regions [][]int
 	for r := range k.RackCount() {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// benchSeeds returns the benchSeeds for tuning, or with HOLDOUT=1 those kept aside, or
-// the one that SEED names.
+// benchSeeds returns the seeds for tuning, or with HOLDOUT=1 those that are not used
+// for tuning, or the one that SEED names.
 func benchSeeds() []uint64 {
 	if seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return []uint64{seed}
@@ -19,8 +19,8 @@
 	return []uint64{1, 2, 3, 4, 5}
 }
 
-// BenchmarkReplay measures completion time and fragmentation against strict
-// FIFO first-fit and against the same policy with true run times.
+// BenchmarkReplay measures completion time and fragmentation, and compares them with
+// strict FIFO first-fit and with the same policy given the true run times.
 func BenchmarkReplay(b *testing.B) {
 	for _, size := range []traceSize{uniformOne, uniformAll, mixedOne, mixedAll} {
 		for _, load := range []float64{.5, .8, .95} {
@@ -74,8 +74,8 @@
 	}
 }
 
-// BenchmarkLeaveAndReturn measures the work done while a failure domain leaves
-// and returns, as a share of what the accelerators in service could do.
+// BenchmarkLeaveAndReturn measures the work done while a failure domain is taken out
+// of service and returns, as a share of what the accelerators in service could do.
 func BenchmarkLeaveAndReturn(b *testing.B) {
 	for _, size := range []traceSize{uniformAll, mixedAll} {
 		b.Run(size.name, func(b *testing.B) {
--- a/placement/checker_test.go
+++ b/placement/checker_test.go
@@ -9,7 +9,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// checkPlan tells what is wrong with a plan, without using the code under test.
+// checkPlan returns the first fault of a plan. It does not use the code under test,
+// except compareGuaranteedGangs.
 func checkPlan(v View, p Plan) error {
 	for _, check := range []func(View, Plan) error{checkEveryJobAnswered, checkStarts, checkReclaims, checkNoDoubleAllocation, checkQuotas, checkBacking} {
 		if err := check(v, p); err != nil {
@@ -19,7 +20,8 @@
 	return nil
 }
 
-// checkEveryJobAnswered: every waiting job is either started or held with a reason.
+// checkEveryJobAnswered checks that every waiting job is either started, or held
+// with a reason.
 func checkEveryJobAnswered(v View, p Plan) error {
 	outcomes := map[job.ID]int{}
 	for _, s := range p.Starts {
@@ -28,24 +30,24 @@
 	for _, h := range p.Holds {
 		outcomes[h.ID]++
 		if h.Reason == "" {
-			return fmt.Errorf("%v is held without reason", h.ID)
+			return fmt.Errorf("%v is held without a reason", h.ID)
 		}
 	}
 	for _, w := range v.Waiting {
 		if outcomes[w.ID] != 1 {
-			return fmt.Errorf("%v is told %d outcomes", w.ID, outcomes[w.ID])
+			return fmt.Errorf("%v has %d starts and holds", w.ID, outcomes[w.ID])
 		}
 	}
 	if len(outcomes) != len(v.Waiting) {
-		return fmt.Errorf("the plan names jobs that do not wait")
+		return fmt.Errorf("the plan starts or holds jobs that are not waiting")
 	}
 	return nil
 }
 
-// checkStarts: whole adjacent gangs on workers in service.
+// checkStarts checks that each gang starts whole, on adjacent workers in service.
 func checkStarts(v View, p Plan) error {
 	if v.Out && len(p.Starts) > 0 {
-		return fmt.Errorf("start in a failure domain that is out")
+		return fmt.Errorf("start in a failure domain that is out of service")
 	}
 	for _, s := range p.Starts {
 		w := waitingOf(v, s.ID)
@@ -56,7 +58,7 @@
 		for _, name := range s.Workers {
 			worker := workerOf(v, name)
 			if worker.UnavailableReason != "" || worker.Probing && w.Shape.Tasks > 1 {
-				return fmt.Errorf("%v starts on %s, which takes no tasks", s.ID, name)
+				return fmt.Errorf("%v starts on %s, which does not take it", s.ID, name)
 			}
 			switch w.Shape.Adjacency {
 			case job.SameWorker:
@@ -66,13 +68,14 @@
 			}
 		}
 		if len(locations) > 1 {
-			return fmt.Errorf("%v is not adjacent: %v", s.ID, s.Workers)
+			return fmt.Errorf("tasks of %v are not adjacent: %v", s.ID, s.Workers)
 		}
 	}
 	return nil
 }
 
-// checkReclaims: only gangs that run and that no guarantee protects.
+// checkReclaims checks that only running gangs that no guarantee protects are
+// reclaimed.
 func checkReclaims(v View, p Plan) error {
 	protected := map[job.ID]bool{}
 	for _, i := range protectedGangs(v) {
@@ -85,7 +88,7 @@
 		case i < 0 || v.Running[i].Stopping || seen[r.ID]:
 			return fmt.Errorf("%v cannot be reclaimed", r.ID)
 		case r.Reason == "":
-			return fmt.Errorf("%v is reclaimed without reason", r.ID)
+			return fmt.Errorf("%v is reclaimed without a reason", r.ID)
 		case !v.Out && protected[r.ID]:
 			return fmt.Errorf("%v is reclaimed from within its guarantee", r.ID)
 		}
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// checkNoDoubleAllocation: no accelerator is given to two tasks.
+// checkNoDoubleAllocation checks that no accelerator is assigned to two tasks.
 func checkNoDoubleAllocation(v View, p Plan) error {
 	used := map[string]int{}
 	for _, g := range v.Running {
@@ -106,7 +109,7 @@
 		for _, w := range s.Workers {
 			used[w] += waitingOf(v, s.ID).Shape.AcceleratorsPerTask
 			if used[w] > workerOf(v, w).Accelerators {
-				return fmt.Errorf("%v: accelerators of %s given twice", s.ID, w)
+				return fmt.Errorf("%v: accelerators of %s assigned twice", s.ID, w)
 			}
 		}
 	}
@@ -127,14 +130,14 @@
 			}
 		}
 		if started > 0 && used+started > q.Accelerators {
-			return fmt.Errorf("team %s over its quota", q.Team)
+			return fmt.Errorf("the starts exceed the quota of team %s", q.Team)
 		}
 	}
 	return nil
 }
 
-// checkBacking: when there is a backing plan before the starts, there is one
-// after them; when there is none, the plan reports a deficit.
+// checkBacking checks that a backing plan exists after the starts if one exists
+// before them, and that the plan reports a deficit if none exists.
 func checkBacking(v View, p Plan) error {
 	if v.Out {
 		return nil
@@ -204,8 +207,8 @@
 	return out
 }
 
-// fitsCopy restates when a gang counts against a guaranteed shape: each way to
-// place the shape has room for the gang, and it is urgent or fills half.
+// fitsCopy restates when a gang counts against a guaranteed shape: every placement
+// of the shape has room for the gang, and the gang is urgent or fills half of it.
 func fitsCopy(id job.ID, s job.Shape, urgent bool, c Guarantee) bool {
 	if id.Organisation != c.Organisation || s.Accelerators() == 0 {
 		return false
@@ -224,7 +227,8 @@
 	return adjacentEnough && s.Tasks <= each*c.Shape.Tasks
 }
 
-// protectedGangs returns the gangs that hold a guarantee, in order of right.
+// protectedGangs returns the gangs that hold a guarantee, in the order in which they
+// keep it.
 func protectedGangs(v View) []int {
 	var order, kept []int
 	for i, g := range v.Running {
@@ -241,8 +245,8 @@
 	return kept
 }
 
-// assignments tries every way to give each gang a copy of its own, and reports
-// whether accept takes one.
+// assignments tries every way to assign a copy to each gang, and reports whether
+// accept takes one of them.
 func assignments(v View, gangs []int, accept func(used []bool) bool) bool {
 	cs := guaranteedCopies(v)
 	used := make([]bool, len(cs))
@@ -266,8 +270,8 @@
 	return assign(0)
 }
 
-// canBack reports whether every unused copy can have adjacent accelerators
-// that neither protected gangs nor other copies use, by trying everything.
+// canBack reports, by trying every placement, whether all unused copies can have
+// adjacent accelerators that neither protected gangs nor other copies use.
 func canBack(v View) bool {
 	kept := protectedGangs(v)
 	free := map[string]int{}
@@ -324,8 +328,8 @@
 	return placeTasks(0, 0, Worker{})
 }
 
-// decideTwice decides on a view and reports an error if the view was changed
-// or a second decision differs.
+// decideTwice decides on a view, and returns an error if that changed the view or if
+// a second decision differs.
 func decideTwice(v View) (Plan, error) {
 	before := cloneView(v)
 	p := Decide(v)
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -8,11 +8,12 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Decide returns what to start, reclaim and hold. It does not change v, and
-// equal views give equal plans.
+// Decide returns what to start, reclaim and hold. It does not change v, and equal
+// views give equal plans.
 //
-// Waiting jobs within a guarantee come first, then urgent ones, then the rest
-// overdue ones first, then in order of how long they have waited for their work.
+// Waiting jobs within a guarantee are served first, then urgent jobs, then the
+// others: overdue jobs first, then by a score that weighs a job's wait against its
+// expected run time and size.
 func Decide(v View) Plan {
 	if v.Out {
 		return drainPlan(&v)
@@ -32,35 +33,35 @@
 	return d
 }
 
-// decision is the state of one call of Decide.
+// decision is the state of one call of Decide or PullableJobs.
 type decision struct {
 	v                     *View
 	plan                  Plan
 	cluster               *topology.Cluster
-	free                  *topology.Capacity // free now and set aside for nobody
-	freeSoon              *topology.Capacity // free, and what stopping gangs will free
-	unguaranteed          *topology.Capacity // not held by work within guarantees
-	remaining             *topology.Capacity // free beside reservations once the plan's jobs have started
+	free                  *topology.Capacity // free now and not set aside for a job
+	freeSoon              *topology.Capacity // free, or about to be freed by stopping gangs
+	unguaranteed          *topology.Capacity // not used by gangs that count against guarantees
+	remaining             *topology.Capacity // free beside the reservations once the plan's jobs have started
 	assignment            *guarantee.Assignment
 	backing               *guarantee.Backing
-	placements            [][]int // worker of each task of each running gang; unknown ones left out
-	borrowers             []int   // running gangs that may be reclaimed
+	placements            [][]int // worker of each task of each running gang, without unknown workers
+	borrowers             []int   // indices in v.Running of the gangs that may be reclaimed
 	teams                 map[teamKey]*quotaUse
 	usage                 map[string]int // accelerators in use by each organisation
 	predictor             *predictor
 	reclaimer             *guarantee.Reclaimer
-	victims               []bool               // borrowers asked to stop in this plan
-	fitsBesideGuarantees  map[job.Shape]bool   // whether shapes fit beside all guarantees
-	urgentReclaimAttempts int                  // times urgent work outside guarantees looked for borrowers to stop
-	noVictims             map[job.Shape]bool   // shapes for which urgent work found nobody to reclaim from
-	infeasibleReasons     map[job.Shape]string // why shapes never run; empty: they may
-	idle                  *topology.Capacity   // all workers with nothing running, once needed
+	victims               []bool               // by index in borrowers: asked to stop in this plan
+	fitsBesideGuarantees  map[job.Shape]bool   // whether a shape fits beside the backing of all guarantees
+	urgentReclaimAttempts int                  // searches for borrowers to stop for urgent jobs outside guarantees
+	noVictims             map[job.Shape]bool   // shapes for which urgent jobs found no borrowers to stop
+	infeasibleReasons     map[job.Shape]string // why a shape can never run here; empty: it can
+	idle                  *topology.Capacity   // all workers with nothing running; nil until first needed
 }
 
-// teamKey names a teamKey of an organisation.
+// teamKey identifies a team of an organisation.
 type teamKey struct{ organisation, name string }
 
-// quotaUse is a team's quota and what it uses of it.
+// quotaUse is a team's quota and the part of it in use, in accelerators.
 type quotaUse struct{ limit, used int }
 
 func newDecision(v *View) *decision {
@@ -86,10 +87,12 @@
 	return d
 }
 
+// noSlot is passed where a slot may be excluded, to exclude none.
 const noSlot = -1
 
-// addRunning takes what runs from the capacities and finds out what counts
-// against guarantees: gangs that were started so, as far as slots are left.
+// addRunning allocates the accelerators of running gangs and determines which gangs
+// count against guarantees: those that were started under one, as long as slots
+// are left.
 func (d *decision) addRunning() {
 	d.placements = make([][]int, len(d.v.Running))
 	for i := range d.v.Running {
@@ -118,8 +121,9 @@
 	slices.Sort(d.borrowers)
 }
 
-// claimOrder returns the running gangs that hold a guarantee: urgent ones
-// first, then larger, then older. A later one loses it when an edit took slots.
+// claimOrder returns the running gangs that were started under a guarantee: urgent
+// ones first, then larger, then older. When an edit has removed slots, the last
+// ones no longer count against the guarantee.
 func (d *decision) claimOrder() []int {
 	var out []int
 	for i := range d.v.Running {
@@ -131,6 +135,7 @@
 	return out
 }
 
+// positions returns the positions of the named workers, without unknown ones.
 func (d *decision) positions(names []string) []int {
 	out := make([]int, 0, len(names))
 	for _, n := range names {
@@ -148,14 +153,14 @@
 	}
 }
 
-// startJob puts a startJob into the plan and takes its accelerators.
+// startJob adds a start to the plan and allocates its accelerators.
 func (d *decision) startJob(w *WaitingJob, placement []int, guaranteed bool) {
 	d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: d.cluster.WorkerNames(placement), Guaranteed: guaranteed})
 	d.setAside(placement, w.Shape)
 	d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 }
 
-// setAside takes accelerators so that no later job of this decision gets them.
+// setAside allocates accelerators so that no later job of this decision gets them.
 func (d *decision) setAside(placement []int, s job.Shape) {
 	d.free.AllocateAll(placement, s.AcceleratorsPerTask)
 	d.freeSoon.AllocateAll(placement, s.AcceleratorsPerTask)
@@ -165,7 +170,8 @@
 	d.plan.Holds = append(d.plan.Holds, Hold{ID: w.ID, Reason: reason})
 }
 
-// reclaimBorrowers asks the borrowers to stop and counts them as stopping from now on.
+// reclaimBorrowers adds the borrowers to the plan's reclaims. From then on they
+// count as stopping.
 func (d *decision) reclaimBorrowers(borrowers []int, forJob job.ID, reason string) {
 	for _, b := range borrowers {
 		g := &d.v.Running[d.borrowers[b]]
@@ -175,7 +181,8 @@
 	}
 }
 
-// drainPlan holds everything and asks gangs that can save their work to stop.
+// drainPlan returns the plan of a failure domain that is out of service: it holds
+// all waiting jobs and asks the gangs that can checkpoint to stop.
 func drainPlan(v *View) Plan {
 	var p Plan
 	for i := range v.Running {
@@ -201,7 +208,8 @@
 	return out
 }
 
-// topologyWorkers returns the workers as the topology counts them.
+// topologyWorkers converts workers to those of package topology. A probing worker
+// is unavailable there.
 func topologyWorkers(workers []Worker) []topology.Worker {
 	out := make([]topology.Worker, len(workers))
 	for i, w := range workers {
--- a/placement/decide_bench_test.go
+++ b/placement/decide_bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// busyView is a view of a full cluster of letter 1's mix with many jobs waiting
-// and, for each accelerator, about four tasks without accelerators.
+// busyView returns a view of a full cluster with the workers and jobs of the letter1
+// traces, with many jobs waiting and, for each accelerator, about four tasks without
+// accelerators.
 func busyView(workers, waiting int) View {
 	size := traceSize{workers: []int{workers}, span: 3 * 24 * time.Hour, mixedWorkers: true}
 	trace := drawTrace(size, 2, 1)
@@ -37,8 +38,8 @@
 	return v
 }
 
-// BenchmarkDecide measures one decision at four sizes, with 200 jobs waiting
-// and with a burst of 2,000.
+// BenchmarkDecide measures one decision on clusters of four sizes, with 200 jobs
+// waiting and with a burst of 2,000.
 func BenchmarkDecide(b *testing.B) {
 	for _, workers := range []int{60, 243, 486, 970} {
 		for _, waiting := range []int{200, 2000} {
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// builder makes views for tests: workers of 4 accelerators, two to a rack.
+// builder builds views for tests, with workers of 4 accelerators, two to a rack.
 type builder struct{ v View }
 
 func newBuilder(workers int) *builder {
@@ -24,7 +24,7 @@
 	return job.Shape{Tasks: tasks, AcceleratorsPerTask: per, Adjacency: a}
 }
 
-// running adds a gang that declared run and started ago.
+// running adds a gang with a declared run time that started the given time ago.
 func (b *builder) running(org, name string, s job.Shape, run, ago time.Duration, workers ...string) *Gang {
 	b.v.Running = append(b.v.Running, Gang{
 		ID: job.ID{Organisation: org, Service: "s", Name: name}, Shape: s, Workers: workers,
@@ -33,7 +33,7 @@
 	return &b.v.Running[len(b.v.Running)-1]
 }
 
-// waiting adds a job that declared run and was submitted ago.
+// waiting adds a job with a declared run time that was submitted the given time ago.
 func (b *builder) waiting(org, name string, s job.Shape, run, ago time.Duration) *WaitingJob {
 	b.v.Waiting = append(b.v.Waiting, WaitingJob{
 		ID: job.ID{Organisation: org, Service: "s", Name: name}, Shape: s, Submitted: noon.Add(-ago), DeclaredRun: run,
@@ -92,7 +92,7 @@
 	must.Eq(t, []string{"brief"}, started(Decide(b.v)))
 }
 
-func TestDisplacesOnlyWhenWaitSavedExceedsDelay(t *testing.T) {
+func TestDisplacesOnlyWhenWaitSavedOutweighsDelay(t *testing.T) {
 	b := newBuilder(2)
 	s := shapeOf(1, 1, job.SameWorker)
 	b.running("a", "left", s, 20*time.Hour, time.Hour, "w0")
@@ -107,8 +107,9 @@
 	must.Len(t, 0, Decide(b.v).Reclaims) // saves 19 h for a delay of 15 h
 }
 
-// TestBackingIsRepairedWithinDecision: the first start takes w0, which backed
-// b's slot, so that b needs w1 and the second job must reclaim on w0.
+// TestBackingIsRepairedWithinDecision checks that backing is planned anew within a
+// decision: the first start takes w0, which backed b's slot, so that b needs w1 and
+// the second job must reclaim accelerators on w0.
 func TestBackingIsRepairedWithinDecision(t *testing.T) {
 	half := shapeOf(1, 2, job.SameWorker)
 	b := newBuilder(2)
@@ -160,7 +161,7 @@
 		{shapeOf(65, 0, job.SameFailureDomain), "within these bounds"},
 	}
 	v := newBuilder(4).v
-	v.Workers[0].UnavailableReason = "leaving" // counts: it may come back
+	v.Workers[0].UnavailableReason = "leaving" // counts, since it may return
 	for _, c := range cases {
 		ok, _, remedy := Feasible(v.Workers, c.shape)
 		must.Eq(t, c.remedy == "", ok)
@@ -186,7 +187,7 @@
 	}
 	near := e.Predict("s", "t", 2*time.Hour, .5)
 	must.Between(t, 14*time.Hour, near, 18*time.Hour)
-	must.Greater(t, time.Hour, e.Predict("s", "other", time.Hour, .5)) // its service says so
+	must.Greater(t, time.Hour, e.Predict("s", "other", time.Hour, .5)) // predicted from the history of the service
 	must.Greater(t, 20*time.Hour, e.PredictAfter("s", "t", time.Hour, 20*time.Hour, .5))
 	data, err := json.Marshal(e)
 	must.NoError(t, err)
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// reportDeficits tells which guarantees the present hardware cannot back.
+// reportDeficits adds to the plan the guarantees that the present hardware cannot
+// back.
 func (d *decision) reportDeficits() {
 	missing := d.backing.UnbackedSlots()
 	if len(missing) == 0 {
@@ -26,7 +27,8 @@
 	}
 }
 
-// deficitReason tells lost hardware from guarantees that were too many.
+// deficitReason says whether unavailable workers or too many guarantees cause the
+// deficits.
 func (d *decision) deficitReason() string {
 	workers, accelerators := 0, 0
 	for _, w := range d.v.Workers {
@@ -35,14 +37,14 @@
 			accelerators += w.Accelerators
 		}
 	}
-	whole := d.idleCapacity().Clone()
+	allWorkers := d.idleCapacity().Clone()
 	slots := d.assignment.UnusedSlots(noSlot)
 	for i := range d.v.Running {
 		if g := &d.v.Running[i]; g.Guaranteed && !g.Stopping {
-			whole.AllocateAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
+			allWorkers.AllocateAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
 		}
 	}
-	if workers > 0 && len(d.assignment.PlanBacking(whole, slots).UnbackedSlots()) == 0 {
+	if workers > 0 && len(d.assignment.PlanBacking(allWorkers, slots).UnbackedSlots()) == 0 {
 		return fmt.Sprintf("%d workers with %d accelerators are unavailable; bring them back or lower the guarantees",
 			workers, accelerators)
 	}
--- a/placement/displace.go
+++ b/placement/displace.go
@@ -8,18 +8,19 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// When a blocked job displaces running gangs.
+// Conditions under which a blocked job displaces running gangs.
 const (
 	restartDelay             = 3 * time.Minute  // delay of a gang that is checkpointed and restarted
-	minRunBeforeDisplacement = 30 * time.Minute // a gang is not displaced sooner after its start
-	minDisplacementGain      = 1.5              // the wait saved must be this many times the delay caused
-	minWaitSaved             = 10 * time.Minute // waits that are not worth a displacement
+	minRunBeforeDisplacement = 30 * time.Minute // time since its start before which a gang is not displaced
+	minDisplacementGain      = 1.5              // the wait saved must be at least this many times the delay caused
+	minWaitSaved             = 10 * time.Minute // saving a shorter wait is not worth a displacement
 )
 
-// displace asks gangs that can checkpoint to stop for a blocked job when that
-// saves it more waiting than it costs them, and returns where the job then goes.
-// An overdue job need not save more than it costs.
-// A gang that finds room elsewhere loses a restart, another also the job's run.
+// displace asks gangs that can checkpoint to stop for a blocked job if that saves
+// the job enough waiting compared with the delay of those gangs, and returns the
+// job's placement. An overdue job need not save more than it costs.
+// A gang that fits elsewhere is delayed by a restart, any other also by the job's
+// run.
 func (b *backfill) displace(w *WaitingJob, r reservation, avoid topology.AvoidFunc) (placement []int, ok bool) {
 	d := b.d
 	saved := r.from.Sub(d.v.Now) - expectedStopTime
@@ -40,8 +41,9 @@
 	return choice.Placement, true
 }
 
-// displaceable reports whether a borrower may make room for a job of the given
-// run time: it can checkpoint, has settled, and is expected to go on for longer.
+// displaceable reports whether a borrower may be stopped for a job of the given run
+// time: it can checkpoint, is not urgent, has run for minRunBeforeDisplacement and,
+// unless the job is overdue, is expected to run for longer than the job.
 func (d *decision) displaceable(borrower int, run time.Duration, overdue bool) bool {
 	g := &d.v.Running[d.borrowers[borrower]]
 	if !g.Checkpoint || g.Urgent || d.v.Now.Sub(g.Started) < minRunBeforeDisplacement {
@@ -72,8 +74,9 @@
 	return sum
 }
 
-// anyStopping reports whether any gang is being stopped. One displacement at a
-// time shows its effect before the next.
+// anyStopping reports whether any gang is stopping or is asked to stop by this
+// plan. Displacements happen one at a time, so that each shows its effect before
+// the next.
 func (d *decision) anyStopping() bool {
 	return len(d.plan.Reclaims) > 0 || slices.ContainsFunc(d.v.Running, func(g Gang) bool { return g.Stopping })
 }
--- a/placement/estimates.go
+++ b/placement/estimates.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Bounds of the learned ratios of actual to declared run time.
+// Parameters of the learned ratios of actual to declared run time.
 const (
-	bucketCount        = 81   // buckets of a factor 2^(1/8) from 1/32 to 32
-	bucketsPerDoubling = 8    // buckets in which a ratio doubles
-	bucketOfOne        = 40   // bucket of ratio 1
-	decayFactor        = 0.98 // share of old weight kept at each observation
-	maxPriorWeight     = 4.0  // observations that weigh as much as the wider group's
-	minRun             = time.Second
+	bucketCount        = 81          // each spans a factor of 2^(1/8), together from 1/32 to 32
+	bucketsPerDoubling = 8           // buckets over which the ratio doubles
+	bucketOfOne        = 40          // bucket of ratio 1
+	decayFactor        = 0.98        // share of the old weight kept at each observation
+	maxPriorWeight     = 4.0         // most that the wider group's history weighs, in observations
+	minRun             = time.Second // shorter run times are treated as this
 )
 
-// Estimates learns, per service and template, how far actual run times are
-// from declared ones. It is safe for concurrent use.
+// Estimates learns, for each service and template, the ratio of actual to declared
+// run times. It is safe for concurrent use.
 type Estimates struct {
 	mu         sync.RWMutex
 	byTemplate map[string]*ratios // by service and template
@@ -32,13 +32,13 @@
 	Total  float64              `json:"total"`
 }
 
-// NewEstimates returns estimates that trust declared run times until they
-// have seen others.
+// NewEstimates returns estimates without observations, which predict the declared
+// run times.
 func NewEstimates() *Estimates {
 	return &Estimates{byTemplate: map[string]*ratios{}, byService: map[string]*ratios{}}
 }
 
-// Observe learns from a run that came to its own end.
+// Observe records a run that ended by itself.
 func (e *Estimates) Observe(service, template string, declared, actual time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -48,24 +48,26 @@
 	e.all.add(b)
 }
 
-// Predict returns the run time that a job stays under with the given
+// Predict returns the run time that a job does not exceed with the given
 // probability (quantile, from 0 to 1).
 func (e *Estimates) Predict(service, template string, declared time.Duration, quantile float64) time.Duration {
 	return e.PredictAfter(service, template, declared, 0, quantile)
 }
 
-// PredictAfter is Predict for a job that is known to have run for elapsed.
+// PredictAfter is Predict for a job that has already run for elapsed.
 func (e *Estimates) PredictAfter(service, template string, declared, elapsed time.Duration, quantile float64) time.Duration {
 	return predictFrom(e.blendedRatios(service, template), max(declared, minRun), elapsed, quantile)
 }
 
+// predictFrom applies a quantile of the ratios to the declared run time. The result
+// exceeds elapsed by at least a quarter.
 func predictFrom(r *ratios, declared, elapsed time.Duration, q float64) time.Duration {
 	ratio := r.quantile(float64(elapsed)/float64(declared), q)
 	return max(time.Duration(ratio*float64(declared)), elapsed+elapsed/4)
 }
 
 // blendedRatios weighs a template's own history against its service's, and that
-// against everything seen and the declared time itself.
+// against the history of all services and the declared run time.
 func (e *Estimates) blendedRatios(service, template string) *ratios {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -81,7 +83,8 @@
 	return mix
 }
 
-// mixIn scales r down to trustedWeight and adds the finer group's history.
+// mixIn scales r down to a weight of at most maxPriorWeight and adds the history of
+// a narrower group.
 func (r *ratios) mixIn(finer *ratios) {
 	if finer.Total == 0 {
 		return
@@ -102,8 +105,8 @@
 	r.Total = r.Total*decayFactor + 1
 }
 
-// quantile returns the ratio under which a share q of the weight above the
-// ratio passed lies.
+// quantile returns the ratio below which a share q of the weight above elapsedRatio
+// lies, or elapsedRatio if no weight lies above it.
 func (r *ratios) quantile(elapsedRatio, q float64) float64 {
 	first := 0
 	if elapsedRatio > 0 {
@@ -138,6 +141,7 @@
 
 func estimateKey(service, template string) string { return service + "/" + template }
 
+// ratiosFor returns the ratios of a key, adding empty ones if it has none.
 func ratiosFor(m map[string]*ratios, k string) *ratios {
 	r := m[k]
 	if r == nil {
@@ -147,21 +151,21 @@
 	return r
 }
 
-// estimatesState is the form in which estimates are kept.
+// estimatesState is the JSON form of Estimates.
 type estimatesState struct {
 	Learned  map[string]*ratios `json:"learned"`
 	Services map[string]*ratios `json:"services"`
 	All      ratios             `json:"all"`
 }
 
-// MarshalJSON returns what has been learned.
+// MarshalJSON returns the learned ratios.
 func (e *Estimates) MarshalJSON() ([]byte, error) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return json.Marshal(estimatesState{Learned: e.byTemplate, Services: e.byService, All: e.all})
 }
 
-// UnmarshalJSON takes over what MarshalJSON returned.
+// UnmarshalJSON replaces the learned ratios by those that MarshalJSON returned.
 func (e *Estimates) UnmarshalJSON(data []byte) error {
 	s := estimatesState{Learned: map[string]*ratios{}, Services: map[string]*ratios{}}
 	if err := json.Unmarshal(data, &s); err != nil {
--- a/placement/feasible.go
+++ b/placement/feasible.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Feasible reports whether a shape would fit on the workers if nothing else
-// ran, unavailable workers included. If not, it tells why and what to change.
+// Feasible reports whether a shape would fit on the workers if nothing else ran,
+// unavailable workers included. If not, it returns the reason and a remedy.
 func Feasible(workers []Worker, shape job.Shape) (ok bool, reason, remedy string) {
 	if reason, remedy = malformed(shape); reason != "" {
 		return false, reason, remedy
@@ -26,7 +26,7 @@
 	return false, reason, remedyFor(empty, shape)
 }
 
-// malformed tells what is wrong with a shape whatever the workers.
+// malformed returns why a shape is invalid on any cluster, and a remedy.
 func malformed(shape job.Shape) (reason, remedy string) {
 	if shape.Tasks < 1 || shape.Tasks > job.MaxGangTasks {
 		return fmt.Sprintf("a gang of %d tasks is not between 1 and %d", shape.Tasks, job.MaxGangTasks),
@@ -39,7 +39,7 @@
 	return "", ""
 }
 
-// remedyFor names the change that would make an impossible shape fit.
+// remedyFor returns the change that would make an infeasible shape fit.
 func remedyFor(empty *topology.Capacity, shape job.Shape) string {
 	one := job.Shape{Tasks: 1, AcceleratorsPerTask: shape.AcceleratorsPerTask, Adjacency: job.SameWorker}
 	if empty.Fit(one, nil) == nil {
--- a/placement/guaranteed.go
+++ b/placement/guaranteed.go
@@ -10,17 +10,18 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// What a reclaim costs, when choosing whom to stop.
+// Weights in the cost of stopping a gang, and the wait before reclaiming.
 const (
-	restartCostSeconds    = 180.0 // work time that a gang loses by a checkpoint and restart
-	urgentWeight          = 10.0  // stopping urgent work counts as this many times its cost
-	excessWeight          = 2.0   // stopping an organisation within its guarantees, per excess share
-	nonUrgentReclaimDelay = 2 * time.Minute
+	restartCostSeconds    = 180.0           // run time that a gang loses by a checkpoint and restart
+	urgentWeight          = 10.0            // factor on the cost of stopping an urgent gang
+	excessWeight          = 2.0             // the cost is divided by 1 + this times the organisation's excess share
+	nonUrgentReclaimDelay = 2 * time.Minute // wait of a guaranteed job that is not urgent before accelerators are reclaimed for it
 )
 
-// startGuaranteed starts the waiting jobs that fit an unused guaranteed shape,
-// or reclaims for them, and returns the other jobs. Urgent and older ones come
-// first, so that a later job never takes what was reclaimed for another.
+// startGuaranteed starts the waiting jobs that fit an unused guaranteed shape, or
+// reclaims accelerators for them, and returns the other jobs. Urgent jobs are served
+// first, then older ones, so that a later job never takes what was reclaimed for
+// another.
 func (d *decision) startGuaranteed(queue []*WaitingJob) []*WaitingJob {
 	served := map[*WaitingJob]bool{}
 	for _, w := range selectByUrgency(queue, d.mayClaim()) {
@@ -29,8 +30,8 @@
 	return withoutServed(queue, served)
 }
 
-// mayClaim returns a test whether a job may find an unused slot, which asks
-// the assignment but once for equal claims.
+// mayClaim returns a function that reports whether a job can use an unused slot. It
+// asks the assignment only once for equal claims.
 func (d *decision) mayClaim() func(w *WaitingJob) bool {
 	known := map[guarantee.Claim]bool{}
 	return func(w *WaitingJob) bool {
@@ -44,6 +45,7 @@
 	}
 }
 
+// compareUrgency sorts urgent before non-urgent.
 func compareUrgency(a, b bool) int {
 	switch {
 	case a == b:
@@ -55,7 +57,8 @@
 	}
 }
 
-// serveGuaranteed reports whether the job was started or reclaimed for.
+// serveGuaranteed starts a job within its organisation's guarantee or reclaims
+// accelerators for it, and reports whether it did either.
 func (d *decision) serveGuaranteed(w *WaitingJob) bool {
 	slot, ok := d.assignment.FindSlot(claimOf(w.ID, w.Shape, w.Urgent))
 	if !ok || d.overQuota(w) {
@@ -84,8 +87,9 @@
 	d.startJob(w, placement, true)
 }
 
-// claimSlot makes the place firm and the job's slot used. The places that back
-// other slots stay as they are unless the place took some of them.
+// claimSlot marks the job's slot as used and the placement as guaranteed. The
+// placements that back other slots stay as they are unless the job takes some of
+// their accelerators.
 func (d *decision) claimSlot(w *WaitingJob, placement []int) {
 	slot, _ := d.assignment.AddClaim(claimOf(w.ID, w.Shape, w.Urgent))
 	spare := d.capacityBesideBacking(slot)
@@ -95,7 +99,7 @@
 	}
 }
 
-// hasRoomAt reports whether the capacity has room for the shape at the place.
+// hasRoomAt reports whether the capacity has room for the shape at the placement.
 func hasRoomAt(k *topology.Capacity, placement []int, s job.Shape) bool {
 	need := map[int]int{}
 	for _, w := range placement {
@@ -107,8 +111,8 @@
 	return true
 }
 
-// capacityBesideBacking returns what neither guaranteed work nor the backing of unused slots
-// other than the given one holds.
+// capacityBesideBacking returns the capacity that is used neither by guaranteed
+// gangs nor by the backing of unused slots other than the given one.
 func (d *decision) capacityBesideBacking(slot int) *topology.Capacity {
 	k := d.unguaranteed.Clone()
 	for s, unused := range d.assignment.Slots() {
@@ -119,8 +123,8 @@
 	return k
 }
 
-// keepsBacking reports whether as many of the other unused slots can be
-// backed once the job runs at the place as before.
+// keepsBacking reports whether, once the job runs at the placement, at least as
+// many of the other unused slots can be backed as before.
 func (d *decision) keepsBacking(w *WaitingJob, slot int, placement []int) bool {
 	others := d.assignment.UnusedSlots(slot)
 	before := 0
@@ -133,7 +137,8 @@
 }
 
 // reclaimForGuaranteed sets accelerators aside for a guaranteed job and asks the
-// borrowers on them to stop. What is stopping already is used first.
+// borrowers on them to stop. Accelerators of gangs that are already stopping are
+// used first.
 func (d *decision) reclaimForGuaranteed(w *WaitingJob, spare *topology.Capacity, avoid topology.AvoidFunc) bool {
 	available := d.freeSoon.LimitedTo(spare)
 	choice, ok := d.chooseVictims(available, w, avoid, func(int) bool { return true })
@@ -146,15 +151,16 @@
 	return true
 }
 
-// reclaimAndSetAside reclaims what a choice names and sets its place aside.
+// reclaimAndSetAside reclaims the victims of a choice and sets its placement aside
+// for the job.
 func (d *decision) reclaimAndSetAside(w *WaitingJob, c guarantee.Choice, reason string) {
 	d.reclaimBorrowers(c.Victims, w.ID, reason)
 	d.setAside(c.Placement, w.Shape)
 	d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 }
 
-// chooseVictims picks the borrowers to stop for a job among those that are allowed
-// and not yet asked to.
+// chooseVictims chooses the borrowers to stop for a job among those that are
+// allowed and not yet asked to stop.
 func (d *decision) chooseVictims(available *topology.Capacity, w *WaitingJob, avoid topology.AvoidFunc, allowed func(borrower int) bool) (guarantee.Choice, bool) {
 	if d.reclaimer == nil {
 		d.reclaimer = d.newReclaimer()
@@ -180,7 +186,7 @@
 	return guarantee.NewReclaimer(d.cluster, bs)
 }
 
-// lostWork returns the accelerator-seconds that stopping a gang wastes.
+// lostWork returns the accelerator-seconds lost by stopping a gang.
 func (d *decision) lostWork(g *Gang) float64 {
 	if g.Checkpoint {
 		return restartCostSeconds * float64(g.Shape.Accelerators())
@@ -188,12 +194,12 @@
 	return max(0, d.v.Now.Sub(g.Started).Seconds()) * float64(g.Shape.Accelerators())
 }
 
-// excessShares returns, for each organisation, the share of all accelerators that it
-// uses beyond its guarantees.
+// excessShares returns, for each organisation, the share of all accelerators that
+// it uses beyond its guarantees.
 func (d *decision) excessShares() map[string]float64 {
-	promised := map[string]int{}
+	guaranteed := map[string]int{}
 	for _, s := range d.assignment.Slots() {
-		promised[s.Organisation] += s.Shape.Accelerators()
+		guaranteed[s.Organisation] += s.Shape.Accelerators()
 	}
 	all := 0
 	for _, w := range d.v.Workers {
@@ -201,12 +207,12 @@
 	}
 	out := map[string]float64{}
 	for org, n := range d.usage {
-		out[org] = float64(max(0, n-promised[org])) / float64(max(all, 1))
+		out[org] = float64(max(0, n-guaranteed[org])) / float64(max(all, 1))
 	}
 	return out
 }
 
-// compareGuaranteedGangs orders gangs by their right to keep a guarantee.
+// compareGuaranteedGangs orders gangs by their precedence for keeping a guarantee.
 func compareGuaranteedGangs(a, b *Gang) int {
 	return cmp.Or(
 		compareUrgency(a.Urgent, b.Urgent),
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// model drives Decide with random events on a small failure domain.
+// model calls Decide after random events in a small failure domain.
 type model struct {
 	v       View
 	lastJob int
@@ -62,7 +62,8 @@
 	})
 }
 
-// editGuarantees draws new guarantees, most often as many as an empty failure domain backs.
+// editGuarantees draws new guarantees, most often no more than an empty failure
+// domain can back.
 func (m *model) editGuarantees(t *rapid.T) {
 	m.v.Guarantees = nil
 	empty := View{Workers: m.v.Workers}
@@ -93,7 +94,7 @@
 	}
 }
 
-// stopGangs ends every stopping gang; half of them wait again.
+// stopGangs ends every stopping gang and submits half of them again.
 func (m *model) stopGangs(t *rapid.T) {
 	for _, g := range m.v.Running {
 		if g.Stopping && rapid.Bool().Draw(t, "again") {
@@ -106,8 +107,8 @@
 	m.v.Running = slices.DeleteFunc(m.v.Running, func(g Gang) bool { return g.Stopping })
 }
 
-// changeWorker loses a worker with its gangs, lets it leave, probes it, or
-// brings it back.
+// changeWorker makes a worker silent and drops its gangs, makes it leave, marks it
+// as probing, or makes it available again.
 func (m *model) changeWorker(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.v.Workers)-1).Draw(t, "worker")
 	w := &m.v.Workers[i]
@@ -129,6 +130,7 @@
 	m.v.Now = m.v.Now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "minutes")) * time.Minute)
 }
 
+// drawGang returns the index of a running gang, or -1 if there is none.
 func (m *model) drawGang(t *rapid.T) int {
 	if len(m.v.Running) == 0 {
 		return -1
@@ -136,7 +138,7 @@
 	return rapid.IntRange(0, len(m.v.Running)-1).Draw(t, "gang")
 }
 
-// decideAndCheck decides, checks the plan and carries it out.
+// decideAndCheck makes a decision, checks the plan and applies it.
 func (m *model) decideAndCheck(t *rapid.T) {
 	*m.steps++
 	p, err := decideTwice(m.v)
@@ -155,8 +157,9 @@
 	}
 }
 
-// checkReclaimedServed: once the gangs that were asked to have stopped, the
-// jobs that waited for them start. Jobs that only a quota held back are left out.
+// checkReclaimedServed checks that jobs that wait for reclaimed accelerators start
+// once the gangs that were asked to stop have stopped. Jobs that only a quota holds
+// back are left out.
 func checkReclaimedServed(v View, p Plan) error {
 	v = cloneView(v)
 	v.Now = v.Now.Add(time.Minute)
@@ -165,14 +168,14 @@
 	next := Decide(v)
 	for _, h := range p.Holds {
 		if h.Reason == reasonGuaranteedReclaiming && slices.ContainsFunc(next.Holds, func(o Hold) bool { return o.ID == h.ID }) {
-			return fmt.Errorf("%v was reclaimed for and does not start: %+v", h.ID, next)
+			return fmt.Errorf("accelerators were reclaimed for %v, but it does not start: %+v", h.ID, next)
 		}
 	}
 	return nil
 }
 
-// checkUrgentServed: while guarantees are backed, the first urgent job that
-// fits an unused copy starts, or is reclaimed for.
+// checkUrgentServed checks that, while guarantees are backed, the first urgent job
+// that fits an unused copy starts, or accelerators are reclaimed for it.
 func checkUrgentServed(v View, p Plan) error {
 	if v.Out || len(p.Deficits) > 0 {
 		return nil
@@ -196,15 +199,16 @@
 	return nil
 }
 
-// otherUrgent reports whether another urgent job of the organisation may take
-// the same copy.
+// otherUrgent reports whether another urgent job of the organisation may take the
+// same copy.
 func otherUrgent(v View, w WaitingJob) bool {
 	return slices.ContainsFunc(v.Waiting, func(o WaitingJob) bool {
 		return o.ID != w.ID && o.Urgent && o.ID.Organisation == w.ID.Organisation
 	})
 }
 
-// TestPlansKeepInvariantsOverRandomEvents checks every plan over at least 10,000 random events.
+// TestPlansKeepInvariantsOverRandomEvents checks every plan over at least 10,000
+// random events.
 func TestPlansKeepInvariantsOverRandomEvents(t *testing.T) {
 	must.NoError(t, flag.Set("rapid.seed", "20261204"))
 	must.NoError(t, flag.Set("rapid.checks", "150"))
--- a/placement/predict.go
+++ b/placement/predict.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Quantiles of the run time at which jobs are judged.
+// Quantiles at which run times are predicted.
 const (
 	orderQuantile       = 0.5 // of waiting jobs, to order them
-	backfillQuantile    = 0.5 // of waiting jobs, to let them go ahead of a reservation
-	expectedEndQuantile = 0.6 // of running gangs, to tell when accelerators come free
+	backfillQuantile    = 0.5 // of waiting jobs, to let them start ahead of a reservation
+	expectedEndQuantile = 0.6 // of running gangs, to predict when their accelerators become free
 )
 
-// predictor reads estimates, blending each template's history but once.
+// predictor predicts run times from estimates. It blends each template's ratios only
+// once.
 type predictor struct {
 	estimates *Estimates
 	blends    map[[2]string]*blend
 }
 
-// blend is a template's history and its ratios at the quantiles for jobs that
-// have not started.
+// blend holds a template's blended ratios, and their quantiles for jobs that have not
+// started.
 type blend struct {
 	*ratios
 	orderRatio, backfillRatio float64
@@ -31,7 +32,8 @@
 	return p.scaledRun(w, func(b *blend) float64 { return b.orderRatio })
 }
 
-// backfillRun returns the run time that a waiting job is given to go ahead.
+// backfillRun returns the run time that a waiting job is expected to need when it
+// starts ahead of a reservation.
 func (p *predictor) backfillRun(w *WaitingJob) time.Duration {
 	return p.scaledRun(w, func(b *blend) float64 { return b.backfillRatio })
 }
@@ -44,7 +46,8 @@
 	return time.Duration(ratio(p.blendFor(w.ID.Service, w.Template)) * float64(declared))
 }
 
-// totalRun returns the totalRun run time of a gang that has run for elapsed.
+// totalRun returns the predicted run time, from its start, of a gang that has run
+// for elapsed.
 func (p *predictor) totalRun(g *Gang, elapsed time.Duration) time.Duration {
 	declared := max(g.DeclaredRun, minRun)
 	if p.estimates == nil {
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// startProbes gives each idle worker on trial one job of a single task, and
-// returns the other jobs. A probe is never urgent work, and never counts
-// against a guarantee.
+// startProbes starts one job of a single task on each idle probing worker, and
+// returns the other jobs. A probe is never an urgent job, and never counts against a
+// guarantee.
 func (d *decision) startProbes(queue []*WaitingJob) []*WaitingJob {
 	for i := range d.v.Workers {
 		worker := &d.v.Workers[i]
@@ -23,7 +23,7 @@
 	return queue
 }
 
-// canProbe reports whether a job can show that a worker is well again.
+// canProbe reports whether a job is suitable to test that a worker has recovered.
 func (d *decision) canProbe(w *WaitingJob, worker *Worker) bool {
 	return w.Shape.Tasks == 1 &&
 		w.Shape.AcceleratorsPerTask <= worker.Accelerators &&
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -2,16 +2,16 @@
 
 import "github.com/cyclamentray/cyclamentray/job"
 
-// PullableJobs returns which of the jobs offered by other failure domains, where they
-// are held, this one could start at once beside its own jobs and reservations.
-// They are taken in the order offered. It does not change v.
+// PullableJobs returns which of the jobs offered by other failure domains, where
+// they are held, this one could start at once beside its own jobs and reservations.
+// It considers them in the order offered and does not change v.
 func PullableJobs(v View, offered []WaitingJob) []job.ID {
 	if v.Out || len(offered) == 0 {
 		return nil
 	}
 	d := decide(&v)
 	if len(d.plan.Reclaims) > 0 {
-		return nil // it is short of room itself
+		return nil // this failure domain lacks free accelerators itself
 	}
 	var out []job.ID
 	for i := range offered {
--- a/placement/quarantine_test.go
+++ b/placement/quarantine_test.go
@@ -28,7 +28,7 @@
 	must.Eq(t, "", q.UnavailableReason("w", end))
 	must.True(t, q.Probing("w", end))
 
-	q.RecordFailure("w", jobID("s", 9), "t", 20, end) // one failure on trial doubles the back-off
+	q.RecordFailure("w", jobID("s", 9), "t", 20, end) // one failure while probing doubles the backoff
 	must.NotEq(t, "", q.UnavailableReason("w", end.Add(2*initialBackoff-1)))
 	end = end.Add(2 * initialBackoff)
 	q.RecordSuccess([]string{"w"}, jobID("s", 10), "t")
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -10,45 +10,46 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Powers of a job's expected run time and accelerators by which its wait counts
-// for less when jobs are ordered.
+// Exponents of a job's expected run time and size in its score. With larger ones
+// the wait of a long or large job counts for less.
 const (
 	runExponent  = 1.5
 	sizeExponent = 1.5
 )
 
-// shareWeight makes a job count as larger by its organisation's share of the
-// accelerators in use, so that one organisation's queue does not hold up others.
+// shareWeight scales how much larger a job counts in its score by its
+// organisation's share of the accelerators in use, so that one organisation's
+// queue does not hold up the others.
 const shareWeight = 8.0
 
-// Bounds of what one decision reclaims for urgent work outside guarantees.
+// Limits on reclaiming for urgent jobs outside guarantees.
 const (
-	maxUrgentReclaimAttempts = 2
-	urgentReclaimInterval    = 200 * time.Millisecond // before the next decision goes on with it
+	maxUrgentReclaimAttempts = 2                      // in one decision
+	urgentReclaimInterval    = 200 * time.Millisecond // delay until the next decision continues
 )
 
-// overdueAfter is the wait after which a job goes before all that are not
-// overdue, and may displace others whatever it costs them.
+// overdueAfter is the wait after which a job precedes all jobs that are not
+// overdue, and may displace other gangs whatever the delay costs them.
 const overdueAfter = 12 * time.Hour
 
-// ranked is a waiting job with its place in the order.
-type ranked struct {
+// rankedJob is a waiting job with the keys by which the queue is sorted.
+type rankedJob struct {
 	w       *WaitingJob
 	score   float64
 	overdue bool
 }
 
-// admitJobs holds the jobs that can never run and returns the others in order:
-// overdue ones, then those that have waited longest for their work.
+// admitJobs holds the jobs that can never run here and returns the others sorted:
+// overdue jobs first, then by score.
 func (d *decision) admitJobs() []*WaitingJob {
-	queue := make([]ranked, 0, len(d.v.Waiting))
+	queue := make([]rankedJob, 0, len(d.v.Waiting))
 	for i := range d.v.Waiting {
 		w := &d.v.Waiting[i]
 		if reason := d.infeasibleReason(w.Shape); reason != "" {
 			d.holdJob(w, reason)
 			continue
 		}
-		queue = append(queue, ranked{w, d.score(w), d.overdue(w)})
+		queue = append(queue, rankedJob{w, d.score(w), d.overdue(w)})
 	}
 	slices.SortFunc(queue, compareRanked)
 	out := make([]*WaitingJob, len(queue))
@@ -58,8 +59,9 @@
 	return out
 }
 
-// compareRanked puts overdue jobs first, oldest first, then orders by score.
-func compareRanked(a, b ranked) int {
+// compareRanked sorts overdue jobs first, oldest first, and the others by score,
+// highest first.
+func compareRanked(a, b rankedJob) int {
 	switch {
 	case a.overdue && b.overdue:
 		return compareSubmissions(a.w, b.w)
@@ -74,7 +76,7 @@
 	return compareSubmissions(a.w, b.w)
 }
 
-// compareSubmissions orders jobs by submission.
+// compareSubmissions orders jobs by submission time, then by ID.
 func compareSubmissions(a, b *WaitingJob) int {
 	if c := a.Submitted.Compare(b.Submitted); c != 0 {
 		return c
@@ -82,9 +84,10 @@
 	return compareIDs(a.ID, b.ID)
 }
 
-// overdue reports whether a job has waited too long and fits beside all
-// guarantees. One that does not can run only while guarantees are not used, so
-// that keeping accelerators for it would hold up others for nothing.
+// overdue reports whether a job has waited for overdueAfter and fits beside the
+// backing of all guarantees. A job that does not fit there can run only while
+// guarantees are unused, so keeping accelerators for it would delay other jobs in
+// vain.
 func (d *decision) overdue(w *WaitingJob) bool {
 	if d.v.Now.Sub(w.Submitted) < overdueAfter {
 		return false
@@ -97,8 +100,9 @@
 	return fits
 }
 
-// score grows with a job's wait, and falls with its expected run time and its
-// size: little work that has waited long comes first.
+// score returns a job's priority among those that are not overdue. It grows with
+// the wait, and falls with the expected run time and the size, so that small jobs
+// that have waited long come first.
 func (d *decision) score(w *WaitingJob) float64 {
 	run := d.predictor.orderingRun(w).Seconds()
 	size := float64(max(1, w.Shape.Accelerators()))
@@ -107,8 +111,8 @@
 	return (waited + run*size) / (math.Pow(run, runExponent) * math.Pow(size, sizeExponent))
 }
 
-// infeasibleReason tells why a shape fits on no workers here, even on those that are
-// unavailable now; empty if it does.
+// infeasibleReason returns why a shape fits on no workers here, unavailable ones
+// included, or an empty string if it fits.
 func (d *decision) infeasibleReason(s job.Shape) string {
 	reason, known := d.infeasibleReasons[s]
 	if known {
@@ -125,8 +129,8 @@
 	return reason
 }
 
-// idleCapacity returns the capacity of all workers with nothing running, unavailable
-// ones included.
+// idleCapacity returns the capacity of all workers, unavailable ones included, with
+// nothing running.
 func (d *decision) idleCapacity() *topology.Capacity {
 	if d.idle == nil {
 		d.idle = topology.NewCapacity(d.cluster.AllAvailable())
@@ -145,8 +149,9 @@
 	d.holdJob(w, d.teams[t].exceededReason(t, w.Shape))
 }
 
-// avoidFunc reports the workers on which a job has failed. They are used all the
-// same when no other workers could ever hold it.
+// avoidFunc reports the workers on which a job has failed. It returns nil, so that
+// they are used all the same, if the job does not fit on the other workers even
+// when nothing else runs.
 func (d *decision) avoidFunc(w *WaitingJob) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
@@ -162,8 +167,9 @@
 	return avoid
 }
 
-// startUrgent starts urgent jobs outside guarantees where accelerators are
-// free, or reclaims from borrowers that are not urgent. It returns the rest.
+// startUrgent starts urgent jobs outside guarantees where accelerators are free, or
+// reclaims accelerators for them from borrowers that are not urgent. It returns the
+// jobs that it did not serve.
 func (d *decision) startUrgent(queue []*WaitingJob) []*WaitingJob {
 	urgent := selectByUrgency(queue, func(w *WaitingJob) bool { return w.Urgent })
 	served := map[*WaitingJob]bool{}
@@ -173,7 +179,8 @@
 	return withoutServed(queue, served)
 }
 
-// selectByUrgency returns the jobs that match, urgent ones first, then by submission.
+// selectByUrgency returns the jobs that match, urgent ones first, then by
+// submission time.
 func selectByUrgency(queue []*WaitingJob, match func(w *WaitingJob) bool) []*WaitingJob {
 	var out []*WaitingJob
 	for _, w := range queue {
@@ -190,7 +197,7 @@
 	return out
 }
 
-// withoutServed returns the queue withoutServed the jobs that are served.
+// withoutServed returns the queue without the jobs that were served.
 func withoutServed(queue []*WaitingJob, served map[*WaitingJob]bool) []*WaitingJob {
 	if len(served) == 0 {
 		return queue
@@ -198,6 +205,8 @@
 	return slices.DeleteFunc(queue, func(w *WaitingJob) bool { return served[w] })
 }
 
+// serveUrgent starts an urgent job or reclaims accelerators for it, and reports
+// whether it did either.
 func (d *decision) serveUrgent(w *WaitingJob) bool {
 	avoid := d.avoidFunc(w)
 	if placement := d.free.Fit(w.Shape, avoid); placement != nil {
@@ -221,6 +230,7 @@
 	return true
 }
 
+// decideAgainAt makes the plan ask for the next decision at t or earlier.
 func (d *decision) decideAgainAt(t time.Time) {
 	if d.plan.DecideAgainAt.IsZero() || t.Before(d.plan.DecideAgainAt) {
 		d.plan.DecideAgainAt = t
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -10,24 +10,24 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// replay runs a trace through a policy in virtual time.
+// replay runs a trace through a placement policy in virtual time.
 type replay struct {
-	size                                 traceSize
-	decide                               func(View) Plan
-	oracle                               bool // tell the policy the true run times
-	pullsJobs                            bool // failure domains with room take held jobs of others
-	now                                  time.Time
-	events                               eventQueue
-	domains                              []*replayDomain
-	estimates                            *Estimates
-	jobs                                 []*replayJob
-	outAt                                time.Time // zero: no failure domain leaves
-	backAt                               time.Time
-	windowEnd                            time.Time
-	doneWork, capacityWork, demandedWork float64 // accelerator-seconds within the window
-	fragmentationSum, fragmentedSeconds  float64
-	decisions                            int
-	reclaims, wasted                     int
+	size                                   traceSize
+	decide                                 func(View) Plan
+	oracle                                 bool // give the policy the true run times
+	pullsJobs                              bool // failure domains with free accelerators take held jobs of others
+	now                                    time.Time
+	events                                 eventQueue
+	domains                                []*replayDomain
+	estimates                              *Estimates
+	jobs                                   []*replayJob
+	outAt                                  time.Time // when the first failure domain is taken out; zero: never
+	backAt                                 time.Time // when it returns
+	windowEnd                              time.Time // end of the window from outAt in which work is measured
+	doneWork, capacityWork, demandedWork   float64   // accelerator-seconds within the window
+	fragmentationSum, fragmentationSeconds float64
+	decisions                              int
+	reclaims, wasted                       int
 }
 
 type replayDomain struct {
@@ -46,9 +46,9 @@
 	fd                     int
 	gang                   Gang
 	generation             int
-	savedProgress          time.Duration // progress kept
-	restartOverhead        time.Duration // of this start
-	predicted              float64
+	savedProgress          time.Duration // run time done and kept by checkpoints
+	restartOverhead        time.Duration // delay before this start makes progress
+	predicted              float64       // accelerator-seconds
 	firstStart, end, moved time.Time
 }
 
@@ -103,7 +103,7 @@
 	return r
 }
 
-// leaveAndReturn takes the first failure domain out for six hours.
+// leaveAndReturn takes the first failure domain out of service for six hours.
 func (r *replay) leaveAndReturn() {
 	r.outAt = time.Time{}.Add(r.size.span / 2)
 	r.backAt = r.outAt.Add(6 * time.Hour)
@@ -137,7 +137,7 @@
 	}
 }
 
-// pull moves jobs that other failure domains hold to one that could start them.
+// pull moves jobs that other failure domains hold to one that can start them.
 func (r *replay) pull(fd int) {
 	d := r.domains[fd]
 	if !r.pullsJobs || d.out {
@@ -311,7 +311,7 @@
 	heap.Push(&r.events, event{at: r.now.Add(replayStopTime), kind: gangStopped, job: j})
 }
 
-// accumulate sums up what holds from now until the next event.
+// accumulate adds the measures of the time from now to the next event.
 func (r *replay) accumulate(until time.Time) {
 	dt := until.Sub(r.now).Seconds()
 	inWindow := !r.outAt.IsZero() && !r.now.Before(r.outAt) && r.now.Before(r.windowEnd)
@@ -325,7 +325,7 @@
 		if r.now.Before(time.Time{}.Add(r.size.span)) && !d.out && dt > 0 {
 			if f, ok := fragmentation(d, r.size.guarantees()); ok {
 				r.fragmentationSum += f * dt
-				r.fragmentedSeconds += dt
+				r.fragmentationSeconds += dt
 			}
 		}
 	}
@@ -333,7 +333,7 @@
 	r.demandedWork += dt * float64(min(capacity, demand))
 }
 
-// demand returns the accelerators that a failure domain's jobs could keep busy.
+// demand returns the accelerators that a failure domain's jobs could use.
 func (d *replayDomain) demand() int {
 	n := 0
 	for _, j := range d.running {
@@ -345,7 +345,7 @@
 	return n
 }
 
-// working returns the accelerators on which progress is made.
+// working returns the accelerators of gangs that make progress.
 func (d *replayDomain) working(now time.Time) int {
 	n := 0
 	for _, j := range d.running {
@@ -356,8 +356,8 @@
 	return n
 }
 
-// fragmentation is the share of free accelerators not usable by copies of the
-// largest waiting shape, or of the largest guaranteed one.
+// fragmentation returns the share of free accelerators that copies of the largest
+// waiting shape, or of the largest guaranteed one, cannot use.
 func fragmentation(d *replayDomain, gs []Guarantee) (share float64, ok bool) {
 	k := topology.NewCapacity(topology.NewCluster(topologyWorkers(d.workers)))
 	for _, j := range d.running {
@@ -382,26 +382,26 @@
 	return float64(k.TotalFree()) / float64(free), true
 }
 
-// replayResult is what one replay measured.
+// replayResult holds the measures of one replay, or sums of them.
 type replayResult struct {
-	meanCompletion, p95Completion float64       // completion over mean run
-	smallMean                     float64       // mean completion over mean run of gangs under 16 accelerators
+	meanCompletion, p95Completion float64       // divided by the mean run time
+	smallMean                     float64       // mean completion time divided by mean run time, of gangs under 16 accelerators
 	longestWaitOfLargest          time.Duration // longest wait of a gang of the largest size
 	fragmented                    float64
-	workOfCapacity                float64 // share of what the accelerators in service could do in the window
-	workOfDemand                  float64 // share of what they could do with the jobs there were
+	workOfCapacity                float64 // work in the window as a share of what the accelerators in service could do
+	workOfDemand                  float64 // work in the window as a share of what they could do with the jobs there were
 }
 
 func (r *replay) result() replayResult {
 	var runs, completions, smallRuns, small []float64
 	var out replayResult
-	largestShape := 0
+	mostAccelerators := 0
 	for _, j := range r.jobs {
-		largestShape = max(largestShape, j.Shape.Accelerators())
+		mostAccelerators = max(mostAccelerators, j.Shape.Accelerators())
 	}
 	for _, j := range r.jobs {
 		if j.end.IsZero() {
-			panic("job never ended: " + j.ID.String())
+			panic("job did not end: " + j.ID.String())
 		}
 		c := j.end.Sub(j.Submitted).Seconds()
 		runs = append(runs, j.trueRun.Seconds())
@@ -410,7 +410,7 @@
 			small = append(small, c)
 			smallRuns = append(smallRuns, j.trueRun.Seconds())
 		}
-		if j.Shape.Accelerators() == largestShape {
+		if j.Shape.Accelerators() == mostAccelerators {
 			out.longestWaitOfLargest = max(out.longestWaitOfLargest, j.firstStart.Sub(j.Submitted))
 		}
 	}
@@ -418,7 +418,7 @@
 	out.smallMean = average(small) / average(smallRuns)
 	slices.Sort(completions)
 	out.p95Completion = completions[len(completions)*95/100] / average(runs)
-	out.fragmented = r.fragmentationSum / r.fragmentedSeconds
+	out.fragmented = r.fragmentationSum / r.fragmentationSeconds
 	out.workOfCapacity = r.doneWork / r.capacityWork
 	out.workOfDemand = r.doneWork / r.demandedWork
 	return out
--- a/placement/trace_test.go
+++ b/placement/trace_test.go
@@ -10,11 +10,11 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// The trace of docs/design/placement.md.
+// The traces are described in docs/design/placement.md.
 
 type traceJob struct {
 	WaitingJob
-	trueRun time.Duration // true run time
+	trueRun time.Duration
 }
 
 type traceTemplate struct {
@@ -24,9 +24,9 @@
 
 type traceSize struct {
 	name         string
-	workers      []int // of each failure domain
+	workers      []int // number of workers of each failure domain
 	span         time.Duration
-	mixedWorkers bool // letter1: workers of three sizes
+	mixedWorkers bool // workers of 8, 4 and 1 accelerators (the letter1 traces) instead of 8 each
 }
 
 var (
@@ -119,7 +119,8 @@
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// drawTrace returns jobs in order of submission, offset from the zero time.
+// drawTrace returns jobs in order of submission. Submission times are offsets from
+// the zero time.
 func drawTrace(size traceSize, load float64, seed uint64) []traceJob {
 	r := rand.New(rand.NewPCG(seed, 7))
 	templates := drawTemplates(r)
@@ -148,7 +149,7 @@
 	return out
 }
 
-// feasibleIn returns Feasible on the workers with a memory.
+// feasibleIn returns a function that caches the results of Feasible on the workers.
 func feasibleIn(workers []Worker) func(job.Shape) bool {
 	known := map[job.Shape]bool{}
 	return func(s job.Shape) bool {
