--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -22,23 +22,24 @@
 	unusedCount map[string]int   // number of unused slots of each organisation
 }
 
+// noClaim marks an unused slot in claimBySlot.
 const noClaim = -1
 
 // NewAssignment returns an assignment in which every slot is unused.
 func NewAssignment(gs []Guarantee) *Assignment {
-	b := &Assignment{byOrg: map[string][]int{}, unusedCount: map[string]int{}}
+	a := &Assignment{byOrg: map[string][]int{}, unusedCount: map[string]int{}}
 	for _, g := range gs {
 		for range g.Count {
-			b.slots = append(b.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
+			a.slots = append(a.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
 		}
 	}
-	slices.SortStableFunc(b.slots, compareSlots)
-	b.claimBySlot = slices.Repeat([]int{noClaim}, len(b.slots))
-	for i, s := range b.slots {
-		b.byOrg[s.Organisation] = append(b.byOrg[s.Organisation], i)
-		b.unusedCount[s.Organisation]++
+	slices.SortStableFunc(a.slots, compareSlots)
+	a.claimBySlot = slices.Repeat([]int{noClaim}, len(a.slots))
+	for i, s := range a.slots {
+		a.byOrg[s.Organisation] = append(a.byOrg[s.Organisation], i)
+		a.unusedCount[s.Organisation]++
 	}
-	return b
+	return a
 }
 
 func compareSlots(a, b Slot) int {
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// benchSeeds returns the seeds for tuning, or with HOLDOUT=1 those that are not used
-// for tuning, or the one that SEED names.
+// benchSeeds returns the seeds for tuning, or with HOLDOUT=1 the held-out ones, or
+// the one that SEED names.
 func benchSeeds() []uint64 {
 	if seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64); err == nil {
 		return []uint64{seed}
