--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -13,32 +13,33 @@
 	Shape        job.Shape
 }
 
-// Assignment assigns claims to slots, at most one to each.
+// Assignment maps claims to slots, at most one claim to each slot.
 type Assignment struct {
-	slots  []Slot
-	claims []Claim
-	holder []int            // claim that uses each slot; unused: -1
-	byOrg  map[string][]int // slots of each organisation, smallest first
-	free   map[string]int   // unused slots of each organisation
+	slots       []Slot
+	claims      []Claim
+	claimBySlot []int            // index in claims of the claim that uses each slot; unused: noClaim (-1)
+	byOrg       map[string][]int // indices of each organisation's slots, smallest shape first
+	unusedCount map[string]int   // number of unused slots of each organisation
 }
 
-const unused = -1
+// noClaim marks an unused slot in claimBySlot.
+const noClaim = -1
 
 // NewAssignment returns an assignment in which every slot is unused.
 func NewAssignment(gs []Guarantee) *Assignment {
-	b := &Assignment{byOrg: map[string][]int{}, free: map[string]int{}}
+	a := &Assignment{byOrg: map[string][]int{}, unusedCount: map[string]int{}}
 	for _, g := range gs {
 		for range g.Count {
-			b.slots = append(b.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
+			a.slots = append(a.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
 		}
 	}
-	slices.SortStableFunc(b.slots, compareSlots)
-	b.holder = slices.Repeat([]int{unused}, len(b.slots))
-	for i, s := range b.slots {
-		b.byOrg[s.Organisation] = append(b.byOrg[s.Organisation], i)
-		b.free[s.Organisation]++
+	slices.SortStableFunc(a.slots, compareSlots)
+	a.claimBySlot = slices.Repeat([]int{noClaim}, len(a.slots))
+	for i, s := range a.slots {
+		a.byOrg[s.Organisation] = append(a.byOrg[s.Organisation], i)
+		a.unusedCount[s.Organisation]++
 	}
-	return b
+	return a
 }
 
 func compareSlots(a, b Slot) int {
@@ -51,51 +52,51 @@
 }
 
 // Slots returns every slot. Callers must not change it.
-func (b *Assignment) Slots() []Slot { return b.slots }
+func (a *Assignment) Slots() []Slot { return a.slots }
 
 // Unused reports whether no claim uses the slot.
-func (b *Assignment) Unused(slot int) bool { return b.holder[slot] == unused }
+func (a *Assignment) Unused(slot int) bool { return a.claimBySlot[slot] == noClaim }
 
-// Find returns the slot that would no longer be unused if the claim were
-// added, without adding it. Earlier claims keep a slot, perhaps another one.
-func (b *Assignment) Find(c Claim) (slot int, ok bool) {
-	return b.walk(c, nil)
+// FindSlot returns the slot that would become used if the claim were added,
+// without adding it. Earlier claims keep a slot, though not always the same one.
+func (a *Assignment) FindSlot(c Claim) (slot int, ok bool) {
+	return a.augment(c, nil)
 }
 
-// Add adds a claim and returns the slot that is no longer unused, if its
-// organisation has one for it.
-func (b *Assignment) Add(c Claim) (slot int, ok bool) {
-	b.claims = append(b.claims, c)
-	slot, ok = b.walk(c, b.assign)
+// AddClaim adds a claim and returns the slot that became used. It adds nothing
+// and returns false if the organisation has no slot for the claim.
+func (a *Assignment) AddClaim(c Claim) (slot int, ok bool) {
+	a.claims = append(a.claims, c)
+	slot, ok = a.augment(c, a.setClaim)
 	if !ok {
-		b.claims = b.claims[:len(b.claims)-1]
+		a.claims = a.claims[:len(a.claims)-1]
 		return slot, false
 	}
-	b.free[c.Organisation]--
+	a.unusedCount[c.Organisation]--
 	return slot, true
 }
 
-func (b *Assignment) assign(slot, claim int) { b.holder[slot] = claim }
+func (a *Assignment) setClaim(slot, claim int) { a.claimBySlot[slot] = claim }
 
-// walk searches an augmenting path from the claim to an unused slot, and calls
-// assign for each slot on it. So a claim is turned down only when no way of
-// sharing out the slots serves it beside the earlier ones.
-func (b *Assignment) walk(c Claim, assign func(slot, claim int)) (end int, ok bool) {
-	if b.free[c.Organisation] == 0 {
+// augment searches for an augmenting path from the claim to an unused slot, and
+// calls assign, if not nil, for each slot on the path. It fails only if no
+// assignment of slots serves the claim together with all earlier ones.
+func (a *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
+	if a.unusedCount[c.Organisation] == 0 {
 		return 0, false
 	}
 	seen := map[int]bool{}
 	var visit func(c Claim, id int) bool
 	visit = func(c Claim, id int) bool {
-		for _, s := range b.byOrg[c.Organisation] {
-			if seen[s] || !c.Fits(b.slots[s].Shape) {
+		for _, s := range a.byOrg[c.Organisation] {
+			if seen[s] || !c.Fits(a.slots[s].Shape) {
 				continue
 			}
 			seen[s] = true
-			h := b.holder[s]
-			if h == unused {
+			h := a.claimBySlot[s]
+			if h == noClaim {
 				end = s
-			} else if !visit(b.claims[h], h) {
+			} else if !visit(a.claims[h], h) {
 				continue
 			}
 			if assign != nil {
@@ -105,6 +106,6 @@
 		}
 		return false
 	}
-	ok = visit(c, len(b.claims)-1)
+	ok = visit(c, len(a.claims)-1)
 	return end, ok
 }
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -8,180 +8,188 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// searchSteps bounds the search for a backing plan after the quick orders
-// have failed.
-const searchSteps = 20_000
+// maxSearchSteps bounds the exhaustive search for a backing plan, which follows
+// when the greedy orders have failed.
+const maxSearchSteps = 20_000
 
-// Backing gives unused slots concrete adjacent accelerators, no two the same.
+// Backing assigns adjacent accelerators to unused slots; no accelerator backs
+// two slots.
 type Backing struct {
-	places map[int][]int // worker of each task of each backed slot
-	missed []int         // slots without accelerators
+	placements map[int][]int // worker of each task, by backed slot
+	unbacked   []int         // slots that have no accelerators
 }
 
-// Place returns the worker of each task of a slot, nil if it has none.
-func (b *Backing) Place(slot int) []int { return b.places[slot] }
+// Placement returns the worker of each task of a slot, or nil if the slot is
+// not backed.
+func (b *Backing) Placement(slot int) []int { return b.placements[slot] }
 
-// Missing returns the slots that have no accelerators.
-func (b *Backing) Missing() []int { return b.missed }
+// UnbackedSlots returns the slots that have no accelerators.
+func (b *Backing) UnbackedSlots() []int { return b.unbacked }
 
-// Back makes a backing plan for the given slots of an assignment. The capacity is what
-// non-reclaimable work leaves; it is not changed. When not all slots can be
-// backed, the plan backs as many as the best order found does.
-func (b *Assignment) Back(k *topology.Capacity, slots []int) *Backing {
-	best := b.greedy(k, slots, hardestFirst)
-	for _, order := range []slotOrder{largestFirst, nearestFirst} {
-		if len(best.missed) == 0 {
+// PlanBacking assigns accelerators to the given slots. The capacity k is what
+// non-reclaimable work leaves free; it is not changed. If no plan is found that
+// backs all slots, the result is that of the greedy order that backs the most.
+func (a *Assignment) PlanBacking(k *topology.Capacity, slots []int) *Backing {
+	best := a.packGreedily(k, slots, hardestFirst)
+	for _, order := range []slotOrder{largestFirst, racksFirst} {
+		if len(best.unbacked) == 0 {
 			return best
 		}
-		if p := b.greedy(k, slots, order); len(p.missed) < len(best.missed) {
+		if p := a.packGreedily(k, slots, order); len(p.unbacked) < len(best.unbacked) {
 			best = p
 		}
 	}
-	if len(best.missed) == 0 || b.accelerators(slots) > k.TotalFree() {
+	if len(best.unbacked) == 0 || a.accelerators(slots) > k.TotalFree() {
 		return best
 	}
-	if p := b.search(k, slots); p != nil {
+	if p := a.packExhaustively(k, slots); p != nil {
 		return p
 	}
 	return best
 }
 
-// UnusedSlots returns the slots that no claim uses, without the one given.
-func (b *Assignment) UnusedSlots(without int) []int {
+// UnusedSlots returns the slots that no claim uses, except the given one.
+func (a *Assignment) UnusedSlots(without int) []int {
 	var out []int
-	for s := range b.slots {
-		if b.Unused(s) && s != without {
+	for s := range a.slots {
+		if a.Unused(s) && s != without {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func (b *Assignment) accelerators(slots []int) int {
+func (a *Assignment) accelerators(slots []int) int {
 	n := 0
 	for _, s := range slots {
-		n += b.slots[s].Shape.Accelerators()
+		n += a.slots[s].Shape.Accelerators()
 	}
 	return n
 }
 
-// slotOrder compares the shapes of two slots: the lesser is backed first.
+// slotOrder compares the shapes of two slots; the slot that sorts first is
+// backed first.
 type slotOrder func(a, b job.Shape) int
 
-// hardestFirst puts large tasks before small, then near before wide.
+// hardestFirst sorts by accelerators per task, largest first, then by adjacency,
+// closest first, then by number of tasks, most first.
 func hardestFirst(a, b job.Shape) int {
-	a, b = normal(a), normal(b)
+	a, b = normalise(a), normalise(b)
 	return cmp.Or(
 		cmp.Compare(b.AcceleratorsPerTask, a.AcceleratorsPerTask),
-		cmp.Compare(width(a.Adjacency), width(b.Adjacency)),
+		cmp.Compare(adjacencyLevel(a.Adjacency), adjacencyLevel(b.Adjacency)),
 		cmp.Compare(b.Tasks, a.Tasks),
 	)
 }
 
-// largestFirst puts large shapes before small.
+// largestFirst sorts by the accelerators of the whole shape, most first.
 func largestFirst(a, b job.Shape) int {
 	return cmp.Or(cmp.Compare(b.Accelerators(), a.Accelerators()), hardestFirst(a, b))
 }
 
-// nearestFirst puts racks before workers, and both before the failure domain.
-func nearestFirst(a, b job.Shape) int {
+// racksFirst sorts shapes within one rack before those on one worker, and both
+// before those that may span the failure domain.
+func racksFirst(a, b job.Shape) int {
 	order := [...]int{1, 0, 2}
 	return cmp.Or(
-		cmp.Compare(order[width(a.Adjacency)], order[width(b.Adjacency)]),
+		cmp.Compare(order[adjacencyLevel(a.Adjacency)], order[adjacencyLevel(b.Adjacency)]),
 		largestFirst(a, b),
 	)
 }
 
-func (b *Assignment) greedy(k *topology.Capacity, slots []int, order slotOrder) *Backing {
+// packGreedily backs the slots one at a time in the given order.
+func (a *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
 	k = k.Clone()
-	p := &Backing{places: make(map[int][]int, len(slots))}
-	for _, s := range b.sorted(slots, order) {
-		shape := b.slots[s].Shape
-		place := k.Fit(shape, nil)
-		if place == nil {
-			p.missed = append(p.missed, s)
+	p := &Backing{placements: make(map[int][]int, len(slots))}
+	for _, s := range a.sorted(slots, order) {
+		shape := a.slots[s].Shape
+		placement := k.Fit(shape, nil)
+		if placement == nil {
+			p.unbacked = append(p.unbacked, s)
 			continue
 		}
-		k.TakeAll(place, shape.AcceleratorsPerTask)
-		p.places[s] = place
+		k.AllocateAll(placement, shape.AcceleratorsPerTask)
+		p.placements[s] = placement
 	}
 	return p
 }
 
-func (b *Assignment) sorted(slots []int, order slotOrder) []int {
+func (a *Assignment) sorted(slots []int, order slotOrder) []int {
 	slots = slices.Clone(slots)
-	slices.SortStableFunc(slots, func(x, y int) int { return order(b.slots[x].Shape, b.slots[y].Shape) })
+	slices.SortStableFunc(slots, func(x, y int) int { return order(a.slots[x].Shape, a.slots[y].Shape) })
 	return slots
 }
 
-// search tries every way to back all slots, task by task, until it has taken
-// searchSteps. It returns nil when it found none.
-func (b *Assignment) search(k *topology.Capacity, slots []int) *Backing {
-	s := &searcher{k: k.Clone(), steps: searchSteps}
-	order := b.sorted(slots, hardestFirst)
+// packExhaustively tries every way to back all slots, task by task, for at most
+// maxSearchSteps steps. It returns nil if it finds none.
+func (a *Assignment) packExhaustively(k *topology.Capacity, slots []int) *Backing {
+	s := &searcher{k: k.Clone(), stepsLeft: maxSearchSteps}
+	order := a.sorted(slots, hardestFirst)
 	for _, slot := range order {
-		s.shapes = append(s.shapes, normal(b.slots[slot].Shape))
+		s.shapes = append(s.shapes, normalise(a.slots[slot].Shape))
 	}
-	s.places = make([][]int, len(order))
-	if !s.next(0) {
+	s.placements = make([][]int, len(order))
+	if !s.placeShape(0) {
 		return nil
 	}
-	p := &Backing{places: make(map[int][]int, len(order))}
+	p := &Backing{placements: make(map[int][]int, len(order))}
 	for i, slot := range order {
-		p.places[slot] = s.places[i]
-		if tasks := b.slots[slot].Shape.Tasks; tasks != len(s.places[i]) {
-			p.places[slot] = slices.Repeat(s.places[i], tasks)
+		p.placements[slot] = s.placements[i]
+		if tasks := a.slots[slot].Shape.Tasks; tasks != len(s.placements[i]) {
+			p.placements[slot] = slices.Repeat(s.placements[i], tasks)
 		}
 	}
 	return p
 }
 
-// searcher is a depth-first search over the places of tasks.
+// searcher is a depth-first search over the placements of tasks.
 type searcher struct {
-	k      *topology.Capacity
-	shapes []job.Shape
-	places [][]int
-	steps  int
+	k          *topology.Capacity
+	shapes     []job.Shape
+	placements [][]int
+	stepsLeft  int
 }
 
-// next places the tasks of shape i and of those after it.
-func (s *searcher) next(i int) bool {
+// placeShape places the tasks of shape i and of all later shapes. It reports
+// whether that succeeded.
+func (s *searcher) placeShape(i int) bool {
 	if i == len(s.shapes) {
 		return true
 	}
 	if s.shapes[i].Adjacency == job.SameFailureDomain {
-		return s.task(i, 0, s.k.Len())
+		return s.placeTask(i, 0, s.k.Len())
 	}
-	for r := range s.k.Racks() {
-		ws := s.k.Rack(r)
-		if s.task(i, ws[0], ws[len(ws)-1]+1) {
+	for r := range s.k.RackCount() {
+		ws := s.k.RackWorkers(r)
+		if s.placeTask(i, ws[0], ws[len(ws)-1]+1) {
 			return true
 		}
 	}
 	return false
 }
 
-// task places the next task of shape i on a worker from first up to end. Tasks
-// are equal, so they go in the order of workers.
-func (s *searcher) task(i, first, end int) bool {
+// placeTask places the next task of shape i on a worker from first to end-1,
+// then all that follow. The tasks of a shape are equal, so it only tries them in
+// the order of workers.
+func (s *searcher) placeTask(i, first, end int) bool {
 	shape := s.shapes[i]
-	if len(s.places[i]) == shape.Tasks {
-		return s.next(i + 1)
+	if len(s.placements[i]) == shape.Tasks {
+		return s.placeShape(i + 1)
 	}
 	for w := first; w < end; w++ {
 		if s.k.Worker(w).Unavailable || s.k.Free(w) < shape.AcceleratorsPerTask {
 			continue
 		}
-		if s.steps--; s.steps < 0 {
+		if s.stepsLeft--; s.stepsLeft < 0 {
 			return false
 		}
-		s.k.Take(w, shape.AcceleratorsPerTask)
-		s.places[i] = append(s.places[i], w)
-		if s.task(i, w, end) {
+		s.k.Allocate(w, shape.AcceleratorsPerTask)
+		s.placements[i] = append(s.placements[i], w)
+		if s.placeTask(i, w, end) {
 			return true
 		}
-		s.places[i] = s.places[i][:len(s.places[i])-1]
-		s.k.GiveAll([]int{w}, shape.AcceleratorsPerTask)
+		s.placements[i] = s.placements[i][:len(s.placements[i])-1]
+		s.k.ReleaseAll([]int{w}, shape.AcceleratorsPerTask)
 	}
 	return false
 }
--- a/guarantee/guarantee_test.go
+++ b/guarantee/guarantee_test.go
@@ -23,7 +23,7 @@
 	return topology.NewCapacity(topology.NewCluster(ws))
 }
 
-func TestInside(t *testing.T) {
+func TestInsideRequiresRoomInEveryPlacement(t *testing.T) {
 	cases := []struct {
 		inner, outer job.Shape
 		want         bool
@@ -31,7 +31,7 @@
 		{shape(2, 4, job.SameRack), shape(2, 4, job.SameRack), true},
 		{shape(4, 2, job.SameRack), shape(2, 4, job.SameRack), true},
 		{shape(2, 4, job.SameRack), shape(4, 2, job.SameRack), false},           // a task may be split over workers
-		{shape(2, 4, job.SameRack), shape(2, 4, job.SameFailureDomain), false},  // the place may span racks
+		{shape(2, 4, job.SameRack), shape(2, 4, job.SameFailureDomain), false},  // the outer placement may span racks
 		{shape(2, 2, job.SameWorker), shape(9, 4, job.SameFailureDomain), true}, // within one task's worker
 		{shape(2, 3, job.SameRack), shape(3, 2, job.SameWorker), true},          // all on one worker
 		{shape(3, 3, job.SameFailureDomain), shape(2, 4, job.SameRack), false},
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestBackMatchesExhaustiveSearch packs random slots and compares with trying
-// every placement of every task.
-func TestBackMatchesExhaustiveSearch(t *testing.T) {
+// TestPlanBackingMatchesExhaustiveSearch backs random slots and compares the
+// result with trying every placement of every task.
+func TestPlanBackingMatchesExhaustiveSearch(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	adjacencies := []job.Adjacency{job.SameWorker, job.SameRack, job.SameFailureDomain}
 	backed := 0
@@ -54,30 +54,30 @@
 			gs = append(gs, Guarantee{"a", shape(1+r.IntN(3), 1+r.IntN(3), adjacencies[r.IntN(3)]), 1})
 		}
 		b := NewAssignment(gs)
-		p := b.Back(k, b.UnusedSlots(-1))
+		p := b.PlanBacking(k, b.UnusedSlots(-1))
 		want := packs(k.Clone(), b.Slots())
-		must.Eq(t, want, len(p.Missing()) == 0, must.Sprintf("%+v", gs))
+		must.Eq(t, want, len(p.UnbackedSlots()) == 0, must.Sprintf("%+v", gs))
 		if want {
 			backed++
-			checkPlaces(t, k.Clone(), b, p)
+			checkPlacements(t, k.Clone(), b, p)
 		}
 	}
 	must.Greater(t, 300, backed)
 }
 
-func checkPlaces(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
+func checkPlacements(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
 	for i, s := range b.Slots() {
-		place := p.Place(i)
-		must.Len(t, s.Shape.Tasks, place)
-		for _, w := range place {
+		placement := p.Placement(i)
+		must.Len(t, s.Shape.Tasks, placement)
+		for _, w := range placement {
 			must.GreaterEq(t, s.Shape.AcceleratorsPerTask, k.Free(w))
-			k.Take(w, s.Shape.AcceleratorsPerTask)
-			must.True(t, near(k, s.Shape.Adjacency, w, place[0]))
+			k.Allocate(w, s.Shape.AcceleratorsPerTask)
+			must.True(t, adjacent(k, s.Shape.Adjacency, w, placement[0]))
 		}
 	}
 }
 
-func near(k *topology.Capacity, a job.Adjacency, x, y int) bool {
+func adjacent(k *topology.Capacity, a job.Adjacency, x, y int) bool {
 	return x == y || a == job.SameFailureDomain || a == job.SameRack && k.RackOf(x) == k.RackOf(y)
 }
 
@@ -86,39 +86,40 @@
 		return true
 	}
 	s := slots[0].Shape
-	var place func(chosen []int) bool
-	place = func(chosen []int) bool {
+	var placeTasks func(chosen []int) bool
+	placeTasks = func(chosen []int) bool {
 		if len(chosen) == s.Tasks {
 			return packs(k, slots[1:])
 		}
 		for w := range k.Len() {
-			if k.Free(w) < s.AcceleratorsPerTask || len(chosen) > 0 && !near(k, s.Adjacency, w, chosen[0]) {
+			if k.Free(w) < s.AcceleratorsPerTask || len(chosen) > 0 && !adjacent(k, s.Adjacency, w, chosen[0]) {
 				continue
 			}
-			k.Take(w, s.AcceleratorsPerTask)
-			ok := place(append(chosen, w))
-			k.GiveAll([]int{w}, s.AcceleratorsPerTask)
+			k.Allocate(w, s.AcceleratorsPerTask)
+			ok := placeTasks(append(chosen, w))
+			k.ReleaseAll([]int{w}, s.AcceleratorsPerTask)
 			if ok {
 				return true
 			}
 		}
 		return false
 	}
-	return place(nil)
+	return placeTasks(nil)
 }
 
-// TestAssignmentMovesEarlierClaims: a claim gets a slot although an earlier one took
-// the only slot that fits it, since that one fits another.
+// TestAssignmentMovesEarlierClaims checks that a claim gets a slot although an
+// earlier claim took the only one that fits it, since the earlier claim can move
+// to another slot.
 func TestAssignmentMovesEarlierClaims(t *testing.T) {
 	small, large := shape(1, 4, job.SameWorker), shape(2, 3, job.SameFailureDomain)
 	b := NewAssignment([]Guarantee{{"a", small, 1}, {"a", large, 1}})
-	_, ok := b.Add(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
+	_, ok := b.AddClaim(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
 	must.True(t, ok)
-	_, ok = b.Add(Claim{"a", small, false}) // fits only the smaller
+	_, ok = b.AddClaim(Claim{"a", small, false}) // fits only the smaller
 	must.True(t, ok)
-	_, ok = b.Find(Claim{"a", small, true})
+	_, ok = b.FindSlot(Claim{"a", small, true})
 	must.False(t, ok)
-	_, ok = b.Find(Claim{"b", small, true})
+	_, ok = b.FindSlot(Claim{"b", small, true})
 	must.False(t, ok)
 }
 
@@ -129,7 +130,7 @@
 	must.True(t, Claim{"a", shape(2, 8, job.SameRack), false}.Fits(s))
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseVictimsPicksCheapestNeededGangs(t *testing.T) {
 	cases := []struct {
 		name      string
 		size      int // accelerators of each of two workers
@@ -138,21 +139,21 @@
 	}{
 		{"least lost work", 4, []Borrower{{[]int{0, 0}, 2, 9000}, {[]int{1, 1}, 2, 100}}, []int{1}},
 		{"fewest gangs", 4, []Borrower{{[]int{0}, 2, 100}, {[]int{0}, 2, 100}, {[]int{1, 1}, 2, 100}}, []int{2}},
-		{"none that is not needed", 8, []Borrower{{[]int{0}, 2, 0}, {[]int{0}, 6, 3000}, {[]int{1}, 8, 90000}}, []int{1}},
-		{"nobody where it is free", 4, []Borrower{{[]int{0, 0}, 2, 0}}, nil},
+		{"only needed gangs", 8, []Borrower{{[]int{0}, 2, 0}, {[]int{0}, 6, 3000}, {[]int{1}, 8, 90000}}, []int{1}},
+		{"no gang where enough is free", 4, []Borrower{{[]int{0, 0}, 2, 0}}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			k := capacity(c.size, c.size)
 			for _, b := range c.borrowers {
-				k.TakeAll(b.Workers, b.AcceleratorsPerTask)
+				k.AllocateAll(b.Workers, b.AcceleratorsPerTask)
 			}
 			before := k.TotalFree()
-			choice, ok := NewReclaimer(k.Cluster, c.borrowers).Choose(k, shape(2, 2, job.SameWorker), nil, func(int) bool { return true })
+			choice, ok := NewReclaimer(k.Cluster, c.borrowers).ChooseVictims(k, shape(2, 2, job.SameWorker), nil, func(int) bool { return true })
 			must.True(t, ok)
 			slices.Sort(choice.Victims)
 			must.Eq(t, c.want, choice.Victims)
-			must.Len(t, 2, choice.Place)
+			must.Len(t, 2, choice.Placement)
 			must.Eq(t, before, k.TotalFree())
 		})
 	}
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -8,21 +8,22 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Borrower is a running gang outside any guarantee.
+// Borrower is a running gang that does not count against a guarantee and so may
+// be stopped.
 type Borrower struct {
-	Workers             []int // worker of each task; those no longer known are left out
+	Workers             []int // worker of each task, without workers that have left the cluster
 	AcceleratorsPerTask int
-	Cost                float64 // accelerator-seconds lost if it is stopped, weighed for fairness
+	Cost                float64 // accelerator-seconds lost if it is stopped, weighted for fairness
 }
 
-// GangCost is what stopping one more gang counts for, whatever its size, in
-// accelerator-seconds.
-const GangCost = 600.0
+// FixedStopCost is the part of the cost of stopping a gang that does not depend
+// on its size, in accelerator-seconds.
+const FixedStopCost = 600.0
 
-// Reclaimer chooses which borrowers to stop for a waiting gang.
+// Reclaimer chooses the borrowers to stop for a waiting gang.
 type Reclaimer struct {
 	borrowers []Borrower
-	onWorker  [][]int // borrowers with tasks on each worker
+	onWorker  [][]int // indices of the borrowers with tasks on each worker
 }
 
 // NewReclaimer returns a reclaimer that chooses among the given borrowers.
@@ -38,158 +39,161 @@
 	return r
 }
 
-// Choice tells whom to stop, and where the waiting gang then goes.
+// Choice is the result of ChooseVictims: the borrowers to stop and the placement
+// of the waiting gang after that.
 type Choice struct {
-	Victims []int // borrowers, by position
-	Place   []int // worker of each task
-	Cost    float64
+	Victims   []int // indices of the borrowers to stop
+	Placement []int // worker of each task
+	Cost      float64
 }
 
-// request is what a call of Choose looks for.
-type request struct {
-	room    *topology.Capacity
-	shape   job.Shape
-	avoid   topology.Avoid
-	allowed func(borrower int) bool
+// searchRequest holds the arguments of one call of ChooseVictims.
+type searchRequest struct {
+	available *topology.Capacity
+	shape     job.Shape
+	avoid     topology.AvoidFunc
+	allowed   func(borrower int) bool
 }
 
-// region is a group of workers that count as adjacent.
-type region struct {
-	workers []int
-	has     func(w int) bool
+// workerGroup is a set of workers on which a gang's tasks count as adjacent.
+type workerGroup struct {
+	workers  []int
+	contains func(w int) bool
 }
 
-// Choose finds the place for a shape whose clearing costs least. Room counts
-// what is free or becoming free; it is changed during the call and restored.
-// Allowed reports which borrowers may be stopped.
-func (r *Reclaimer) Choose(room *topology.Capacity, s job.Shape, avoid topology.Avoid, allowed func(borrower int) bool) (best Choice, ok bool) {
-	q := request{room: room, shape: normal(s), avoid: avoid, allowed: allowed}
-	for _, g := range regions(room, s.Adjacency) {
-		if room.SlotsIfEmpty(g.workers, q.shape) < q.shape.Tasks {
+// ChooseVictims finds the placement for a shape for which stopping borrowers
+// costs least. The capacity available counts accelerators that are free or about
+// to be freed; it is changed during the call and restored. The function allowed
+// reports which borrowers may be stopped.
+func (r *Reclaimer) ChooseVictims(available *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
+	q := searchRequest{available: available, shape: normalise(s), avoid: avoid, allowed: allowed}
+	for _, g := range adjacentGroups(available, s.Adjacency) {
+		if available.TaskCapacityIfEmpty(g.workers, q.shape) < q.shape.Tasks {
 			continue
 		}
-		victims, enough := r.clear(q, g)
-		cost := r.cost(victims)
+		victims, enough := r.selectVictims(q, g)
+		cost := r.totalCost(victims)
 		if !enough || ok && cost >= best.Cost {
 			continue
 		}
 		ok = true
 		best = Choice{Victims: victims, Cost: cost}
-		r.give(room, victims)
-		best.Place = room.FitWithin(g.workers, q.shape, avoid)
-		r.take(room, victims)
+		r.freeBorrowers(available, victims)
+		best.Placement = available.FitWithin(g.workers, q.shape, avoid)
+		r.occupyBorrowers(available, victims)
 	}
-	if ok && len(best.Place) != s.Tasks {
-		best.Place = slices.Repeat(best.Place, s.Tasks)
+	if ok && len(best.Placement) != s.Tasks {
+		best.Placement = slices.Repeat(best.Placement, s.Tasks)
 	}
 	return best, ok
 }
 
-// regions returns the groups of workers that count as adjacent.
-func regions(k *topology.Capacity, a job.Adjacency) []region {
-	var out []region
+// adjacentGroups returns the sets of workers that satisfy an adjacency.
+func adjacentGroups(k *topology.Capacity, a job.Adjacency) []workerGroup {
+	var out []workerGroup
 	switch a {
 	case job.SameWorker:
 		for w := range k.Len() {
-			out = append(out, region{[]int{w}, func(x int) bool { return x == w }})
+			out = append(out, workerGroup{[]int{w}, func(x int) bool { return x == w }})
 		}
 	case job.SameRack:
-		for r := range k.Racks() {
-			out = append(out, region{k.Rack(r), func(x int) bool { return k.RackOf(x) == r }})
+		for r := range k.RackCount() {
+			out = append(out, workerGroup{k.RackWorkers(r), func(x int) bool { return k.RackOf(x) == r }})
 		}
 	default:
 		all := make([]int, k.Len())
 		for w := range all {
 			all[w] = w
 		}
-		out = append(out, region{all, func(int) bool { return true }})
+		out = append(out, workerGroup{all, func(int) bool { return true }})
 	}
 	return out
 }
 
-// clear returns the borrowers to stop so that the region holds the shape:
-// cheapest per accelerator first, and none that is not needed. Not enough means
-// that stopping all of them does not do.
-func (r *Reclaimer) clear(q request, g region) (victims []int, enough bool) {
-	slots := q.room.Slots(g.workers, q.shape, q.avoid)
-	if slots >= q.shape.Tasks {
+// selectVictims returns the borrowers to stop so that the group has room for the
+// shape. It takes the cheapest per accelerator first and then drops those that
+// turn out not to be needed. It returns enough = false if stopping all allowed
+// borrowers would not make enough room.
+func (r *Reclaimer) selectVictims(q searchRequest, g workerGroup) (victims []int, enough bool) {
+	tasks := q.available.TaskCapacity(g.workers, q.shape, q.avoid)
+	if tasks >= q.shape.Tasks {
 		return nil, true
 	}
 	for _, b := range r.candidates(q, g) {
-		if slots >= q.shape.Tasks {
+		if tasks >= q.shape.Tasks {
 			break
 		}
-		slots += r.gain(q, g, b)
+		tasks += r.freeBorrower(q, g, b)
 		victims = append(victims, b)
 	}
-	if slots < q.shape.Tasks {
-		r.take(q.room, victims)
+	if tasks < q.shape.Tasks {
+		r.occupyBorrowers(q.available, victims)
 		return nil, false
 	}
 	var needed []int
 	for _, b := range victims {
-		r.take(q.room, []int{b})
-		gain := r.gain(q, g, b)
-		if slots-gain >= q.shape.Tasks {
-			r.take(q.room, []int{b})
-			slots -= gain
+		r.occupyBorrowers(q.available, []int{b})
+		gain := r.freeBorrower(q, g, b)
+		if tasks-gain >= q.shape.Tasks {
+			r.occupyBorrowers(q.available, []int{b})
+			tasks -= gain
 			continue
 		}
 		needed = append(needed, b)
 	}
-	r.take(q.room, needed)
+	r.occupyBorrowers(q.available, needed)
 	return needed, true
 }
 
-// gain frees a borrower's accelerators and returns how many more of the
-// shape's tasks the region then takes.
-func (r *Reclaimer) gain(q request, g region, borrower int) int {
+// freeBorrower marks a borrower's accelerators as free and returns how many more
+// of the shape's tasks the group then has room for.
+func (r *Reclaimer) freeBorrower(q searchRequest, g workerGroup, borrower int) int {
 	b := r.borrowers[borrower]
 	gained := 0
 	for i := range b.Workers {
 		w := b.Workers[i]
-		if !g.has(w) {
-			q.room.GiveAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+		if !g.contains(w) {
+			q.available.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
 			continue
 		}
-		before := q.room.SlotsOn(w, q.shape, q.avoid)
-		q.room.GiveAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
-		gained += q.room.SlotsOn(w, q.shape, q.avoid) - before
+		before := q.available.TaskCapacityOn(w, q.shape, q.avoid)
+		q.available.ReleaseAll(b.Workers[i:i+1], b.AcceleratorsPerTask)
+		gained += q.available.TaskCapacityOn(w, q.shape, q.avoid) - before
 	}
 	return gained
 }
 
-// candidate is a borrower and its cost for each accelerator freed.
-type candidate struct {
-	borrower int
-	cost     float64
+// rankedBorrower is a borrower with its cost for each accelerator freed.
+type rankedBorrower struct {
+	borrower           int
+	costPerAccelerator float64
 }
 
-// candidates returns the borrowers on the workers of a region that could hold a
-// task, cheapest per accelerator first.
-func (r *Reclaimer) candidates(q request, g region) []int {
-	held := map[int]int{}
+// candidates returns the borrowers on those workers of the group that are large
+// enough for a task, cheapest per accelerator first.
+func (r *Reclaimer) candidates(q searchRequest, g workerGroup) []int {
+	acceleratorsHeld := map[int]int{}
 	var out []int
 	for _, w := range g.workers {
-		if q.room.Worker(w).Accelerators < q.shape.AcceleratorsPerTask {
+		if q.available.Worker(w).Accelerators < q.shape.AcceleratorsPerTask {
 			continue
 		}
 		for _, b := range r.onWorker[w] {
 			if !q.allowed(b) {
 				continue
 			}
-			if held[b] == 0 {
+			if acceleratorsHeld[b] == 0 {
 				out = append(out, b)
 			}
-			held[b] += r.on(b, w)
+			acceleratorsHeld[b] += r.acceleratorsOn(b, w)
 		}
 	}
-	ranked := make([]candidate, len(out))
+	ranked := make([]rankedBorrower, len(out))
 	for i, b := range out {
-		ranked[i] = candidate{b, (r.borrowers[b].Cost + GangCost) / float64(held[b])}
+		ranked[i] = rankedBorrower{b, (r.borrowers[b].Cost + FixedStopCost) / float64(acceleratorsHeld[b])}
 	}
-	slices.SortFunc(ranked, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.borrower, b.borrower))
+	slices.SortFunc(ranked, func(a, b rankedBorrower) int {
+		return cmp.Or(cmp.Compare(a.costPerAccelerator, b.costPerAccelerator), cmp.Compare(a.borrower, b.borrower))
 	})
 	for i, c := range ranked {
 		out[i] = c.borrower
@@ -197,8 +201,8 @@
 	return out
 }
 
-// on returns how many accelerators a borrower holds on a worker.
-func (r *Reclaimer) on(borrower, worker int) int {
+// acceleratorsOn returns how many accelerators a borrower uses on a worker.
+func (r *Reclaimer) acceleratorsOn(borrower, worker int) int {
 	b := r.borrowers[borrower]
 	n := 0
 	for _, w := range b.Workers {
@@ -209,22 +213,24 @@
 	return n
 }
 
-func (r *Reclaimer) cost(victims []int) float64 {
+func (r *Reclaimer) totalCost(victims []int) float64 {
 	sum := 0.0
 	for _, v := range victims {
-		sum += r.borrowers[v].Cost + GangCost
+		sum += r.borrowers[v].Cost + FixedStopCost
 	}
 	return sum
 }
 
-func (r *Reclaimer) give(k *topology.Capacity, victims []int) {
+// freeBorrowers marks the accelerators of the given borrowers as free.
+func (r *Reclaimer) freeBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
-		k.GiveAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
+		k.ReleaseAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
 
-func (r *Reclaimer) take(k *topology.Capacity, victims []int) {
+// occupyBorrowers undoes freeBorrowers.
+func (r *Reclaimer) occupyBorrowers(k *topology.Capacity, victims []int) {
 	for _, v := range victims {
-		k.TakeAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
+		k.AllocateAll(r.borrowers[v].Workers, r.borrowers[v].AcceleratorsPerTask)
 	}
 }
--- a/placement/baseline_test.go
+++ b/placement/baseline_test.go
@@ -7,7 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// fifoFirstFit is the baseline: strict order of submission, first place by name.
+// fifoFirstFit is the baseline policy: jobs strictly in order of submission, each on
+// the first workers in name order.
 func fifoFirstFit(v View) Plan {
 	var p Plan
 	if v.Out {
@@ -22,27 +23,27 @@
 	for _, g := range v.Running {
 		for _, name := range g.Workers {
 			w, _ := k.Position(name)
-			k.Take(w, g.Shape.AcceleratorsPerTask)
+			k.Allocate(w, g.Shape.AcceleratorsPerTask)
 		}
 	}
 	queue := slices.Clone(v.Waiting)
-	slices.SortStableFunc(queue, func(a, b Waiting) int { return a.Submitted.Compare(b.Submitted) })
+	slices.SortStableFunc(queue, func(a, b WaitingJob) int { return a.Submitted.Compare(b.Submitted) })
 	for _, w := range queue {
 		place := firstFit(k, w.Shape)
 		if place == nil {
 			return p
 		}
-		k.TakeAll(place, w.Shape.AcceleratorsPerTask)
-		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.Names(place)})
+		k.AllocateAll(place, w.Shape.AcceleratorsPerTask)
+		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.WorkerNames(place)})
 	}
 	return p
 }
 
-// firstFit takes the first workers in name order.
+// firstFit returns the first workers in name order that have room for a shape.
 func firstFit(k *topology.Capacity, s job.Shape) []int {
 	var regions [][]int
-	for r := range k.Racks() {
-		regions = append(regions, k.Rack(r))
+	for r := range k.RackCount() {
+		regions = append(regions, k.RackWorkers(r))
 	}
 	if s.Adjacency == job.SameFailureDomain {
 		regions = [][]int{slices.Concat(regions...)}
--- a/placement/checker_test.go
+++ b/placement/checker_test.go
@@ -9,9 +9,10 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// checkPlan tells what is wrong with a plan, without using the code under test.
+// checkPlan returns the first fault of a plan. It does not use the code under test,
+// except compareGuaranteedGangs.
 func checkPlan(v View, p Plan) error {
-	for _, check := range []func(View, Plan) error{checkOnce, checkStarts, checkReclaims, checkRoom, checkQuotas, checkBacking} {
+	for _, check := range []func(View, Plan) error{checkEveryJobAnswered, checkStarts, checkReclaims, checkNoDoubleAllocation, checkQuotas, checkBacking} {
 		if err := check(v, p); err != nil {
 			return err
 		}
@@ -19,60 +20,62 @@
 	return nil
 }
 
-// checkOnce: every waiting job is either started or held with a reason.
-func checkOnce(v View, p Plan) error {
-	told := map[job.ID]int{}
+// checkEveryJobAnswered checks that every waiting job is either started, or held
+// with a reason.
+func checkEveryJobAnswered(v View, p Plan) error {
+	outcomes := map[job.ID]int{}
 	for _, s := range p.Starts {
-		told[s.ID]++
+		outcomes[s.ID]++
 	}
 	for _, h := range p.Holds {
-		told[h.ID]++
+		outcomes[h.ID]++
 		if h.Reason == "" {
-			return fmt.Errorf("%v is held without reason", h.ID)
+			return fmt.Errorf("%v is held without a reason", h.ID)
 		}
 	}
 	for _, w := range v.Waiting {
-		if told[w.ID] != 1 {
-			return fmt.Errorf("%v is told %d outcomes", w.ID, told[w.ID])
+		if outcomes[w.ID] != 1 {
+			return fmt.Errorf("%v has %d starts and holds", w.ID, outcomes[w.ID])
 		}
 	}
-	if len(told) != len(v.Waiting) {
-		return fmt.Errorf("the plan names jobs that do not wait")
+	if len(outcomes) != len(v.Waiting) {
+		return fmt.Errorf("the plan starts or holds jobs that are not waiting")
 	}
 	return nil
 }
 
-// checkStarts: whole adjacent gangs on workers in service.
+// checkStarts checks that each gang starts whole, on adjacent workers in service.
 func checkStarts(v View, p Plan) error {
 	if v.Out && len(p.Starts) > 0 {
-		return fmt.Errorf("start in a failure domain that is out")
+		return fmt.Errorf("start in a failure domain that is out of service")
 	}
 	for _, s := range p.Starts {
 		w := waitingOf(v, s.ID)
 		if len(s.Workers) != w.Shape.Tasks {
 			return fmt.Errorf("%v: %d workers for %d tasks", s.ID, len(s.Workers), w.Shape.Tasks)
 		}
-		near := map[string]bool{}
+		locations := map[string]bool{}
 		for _, name := range s.Workers {
 			worker := workerOf(v, name)
-			if worker.Unavailable != "" || worker.Probing && w.Shape.Tasks > 1 {
-				return fmt.Errorf("%v starts on %s, which takes no tasks", s.ID, name)
+			if worker.UnavailableReason != "" || worker.Probing && w.Shape.Tasks > 1 {
+				return fmt.Errorf("%v starts on %s, which does not take it", s.ID, name)
 			}
 			switch w.Shape.Adjacency {
 			case job.SameWorker:
-				near[name] = true
+				locations[name] = true
 			case job.SameRack:
-				near[worker.Rack] = true
+				locations[worker.Rack] = true
 			}
 		}
-		if len(near) > 1 {
-			return fmt.Errorf("%v is not adjacent: %v", s.ID, s.Workers)
+		if len(locations) > 1 {
+			return fmt.Errorf("tasks of %v are not adjacent: %v", s.ID, s.Workers)
 		}
 	}
 	return nil
 }
 
-// checkReclaims: only gangs that run and that no guarantee protects.
+// checkReclaims checks that only running gangs that no guarantee protects are
+// reclaimed.
 func checkReclaims(v View, p Plan) error {
 	protected := map[job.ID]bool{}
 	for _, i := range protectedGangs(v) {
@@ -85,7 +88,7 @@
 		case i < 0 || v.Running[i].Stopping || seen[r.ID]:
 			return fmt.Errorf("%v cannot be reclaimed", r.ID)
 		case r.Reason == "":
-			return fmt.Errorf("%v is reclaimed without reason", r.ID)
+			return fmt.Errorf("%v is reclaimed without a reason", r.ID)
 		case !v.Out && protected[r.ID]:
 			return fmt.Errorf("%v is reclaimed from within its guarantee", r.ID)
 		}
@@ -94,8 +97,8 @@
 	return nil
 }
 
-// checkRoom: no accelerator is given to two tasks.
-func checkRoom(v View, p Plan) error {
+// checkNoDoubleAllocation checks that no accelerator is assigned to two tasks.
+func checkNoDoubleAllocation(v View, p Plan) error {
 	used := map[string]int{}
 	for _, g := range v.Running {
 		for _, w := range g.Workers {
@@ -106,7 +109,7 @@
 		for _, w := range s.Workers {
 			used[w] += waitingOf(v, s.ID).Shape.AcceleratorsPerTask
 			if used[w] > workerOf(v, w).Accelerators {
-				return fmt.Errorf("%v: accelerators of %s given twice", s.ID, w)
+				return fmt.Errorf("%v: accelerators of %s assigned twice", s.ID, w)
 			}
 		}
 	}
@@ -127,14 +130,14 @@
 			}
 		}
 		if started > 0 && used+started > q.Accelerators {
-			return fmt.Errorf("team %s over its quota", q.Team)
+			return fmt.Errorf("the starts exceed the quota of team %s", q.Team)
 		}
 	}
 	return nil
 }
 
-// checkBacking: when there is a backing plan before the starts, there is one
-// after them; when there is none, the plan reports a deficit.
+// checkBacking checks that a backing plan exists after the starts if one exists
+// before them, and that the plan reports a deficit if none exists.
 func checkBacking(v View, p Plan) error {
 	if v.Out {
 		return nil
@@ -143,14 +146,14 @@
 	if !before && len(p.Deficits) == 0 {
 		return fmt.Errorf("no backing plan exists, and no deficit is reported")
 	}
-	if before && len(p.Deficits) == 0 && !canBack(after(v, p)) {
+	if before && len(p.Deficits) == 0 && !canBack(viewAfter(v, p)) {
 		return fmt.Errorf("the starts leave no backing plan")
 	}
 	return nil
 }
 
-// after returns the view once the plan's starts run and its reclaims stop.
-func after(v View, p Plan) View {
+// viewAfter returns the view once the plan's starts run and its reclaims stop.
+func viewAfter(v View, p Plan) View {
 	v = cloneView(v)
 	for _, s := range p.Starts {
 		w := waitingOf(v, s.ID)
@@ -158,7 +161,7 @@
 			ID: w.ID, Team: w.Team, Template: w.Template, Shape: w.Shape, Workers: s.Workers, Urgent: w.Urgent,
 			Checkpoint: w.Checkpoint, Guaranteed: s.Guaranteed, Started: v.Now, DeclaredRun: w.DeclaredRun,
 		})
-		v.Waiting = slices.DeleteFunc(v.Waiting, func(o Waiting) bool { return o.ID == s.ID })
+		v.Waiting = slices.DeleteFunc(v.Waiting, func(o WaitingJob) bool { return o.ID == s.ID })
 	}
 	for _, r := range p.Reclaims {
 		i := slices.IndexFunc(v.Running, func(g Gang) bool { return g.ID == r.ID })
@@ -176,13 +179,13 @@
 	return v
 }
 
-func waitingOf(v View, id job.ID) Waiting {
+func waitingOf(v View, id job.ID) WaitingJob {
 	for _, w := range v.Waiting {
 		if w.ID == id {
 			return w
 		}
 	}
-	return Waiting{}
+	return WaitingJob{}
 }
 
 func workerOf(v View, name string) Worker {
@@ -191,10 +194,10 @@
 			return w
 		}
 	}
-	return Worker{Unavailable: "unknown"}
+	return Worker{UnavailableReason: "unknown"}
 }
 
-func copies(v View) []Guarantee {
+func guaranteedCopies(v View) []Guarantee {
 	var out []Guarantee
 	for _, g := range v.Guarantees {
 		for range g.Count {
@@ -204,8 +207,8 @@
 	return out
 }
 
-// fitsCopy restates when a gang counts against a guaranteed shape: each way to
-// place the shape has room for the gang, and it is urgent or fills half.
+// fitsCopy restates when a gang counts against a guaranteed shape: every placement
+// of the shape has room for the gang, and the gang is urgent or fills half of it.
 func fitsCopy(id job.ID, s job.Shape, urgent bool, c Guarantee) bool {
 	if id.Organisation != c.Organisation || s.Accelerators() == 0 {
 		return false
@@ -220,11 +223,12 @@
 	if s.Tasks <= each {
 		return true
 	}
-	near := s.Adjacency == job.SameFailureDomain || s.Adjacency == job.SameRack && c.Shape.Adjacency == job.SameRack
-	return near && s.Tasks <= each*c.Shape.Tasks
+	adjacentEnough := s.Adjacency == job.SameFailureDomain || s.Adjacency == job.SameRack && c.Shape.Adjacency == job.SameRack
+	return adjacentEnough && s.Tasks <= each*c.Shape.Tasks
 }
 
-// protectedGangs returns the gangs that hold a guarantee, in order of right.
+// protectedGangs returns the gangs that hold a guarantee, in the order in which they
+// keep it.
 func protectedGangs(v View) []int {
 	var order, kept []int
 	for i, g := range v.Running {
@@ -232,7 +236,7 @@
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int { return compareHolders(&v.Running[a], &v.Running[b]) })
+	slices.SortFunc(order, func(a, b int) int { return compareGuaranteedGangs(&v.Running[a], &v.Running[b]) })
 	for _, i := range order {
 		if assignments(v, append(slices.Clone(kept), i), func([]bool) bool { return true }) {
 			kept = append(kept, i)
@@ -241,10 +245,10 @@
 	return kept
 }
 
-// assignments tries every way to give each gang a copy of its own, and reports
-// whether accept takes one.
+// assignments tries every way to assign a copy to each gang, and reports whether
+// accept takes one of them.
 func assignments(v View, gangs []int, accept func(used []bool) bool) bool {
-	cs := copies(v)
+	cs := guaranteedCopies(v)
 	used := make([]bool, len(cs))
 	var assign func(n int) bool
 	assign = func(n int) bool {
@@ -266,13 +270,13 @@
 	return assign(0)
 }
 
-// canBack reports whether every unused copy can have adjacent accelerators
-// that neither protected gangs nor other copies use, by trying everything.
+// canBack reports, by trying every placement, whether all unused copies can have
+// adjacent accelerators that neither protected gangs nor other copies use.
 func canBack(v View) bool {
 	kept := protectedGangs(v)
 	free := map[string]int{}
 	for _, w := range v.Workers {
-		if w.Unavailable == "" && !w.Probing {
+		if w.UnavailableReason == "" && !w.Probing {
 			free[w.Name] = w.Accelerators
 		}
 	}
@@ -283,25 +287,25 @@
 	}
 	return assignments(v, kept, func(used []bool) bool {
 		var left []job.Shape
-		for i, c := range copies(v) {
+		for i, c := range guaranteedCopies(v) {
 			if !used[i] {
 				left = append(left, c.Shape)
 			}
 		}
-		return packs(v.Workers, maps.Clone(free), left)
+		return canPack(v.Workers, maps.Clone(free), left)
 	})
 }
 
-// packs reports whether all shapes fit at once, by trying every placement.
-func packs(workers []Worker, free map[string]int, shapes []job.Shape) bool {
+// canPack reports whether all shapes fit at once, by trying every placement.
+func canPack(workers []Worker, free map[string]int, shapes []job.Shape) bool {
 	if len(shapes) == 0 {
 		return true
 	}
 	s := shapes[0]
-	var place func(task, from int, first Worker) bool
-	place = func(task, from int, first Worker) bool {
+	var placeTasks func(task, from int, first Worker) bool
+	placeTasks = func(task, from int, first Worker) bool {
 		if task == s.Tasks {
-			return packs(workers, free, shapes[1:])
+			return canPack(workers, free, shapes[1:])
 		}
 		for i := from; i < len(workers); i++ {
 			w := workers[i]
@@ -310,22 +314,22 @@
 				continue
 			}
 			free[w.Name] -= s.AcceleratorsPerTask
-			here := first
+			firstWorker := first
 			if task == 0 {
-				here = w
+				firstWorker = w
 			}
-			if place(task+1, i, here) {
+			if placeTasks(task+1, i, firstWorker) {
 				return true
 			}
 			free[w.Name] += s.AcceleratorsPerTask
 		}
 		return false
 	}
-	return place(0, 0, Worker{})
+	return placeTasks(0, 0, Worker{})
 }
 
-// decideTwice decides on a view and reports an error if the view was changed
-// or a second decision differs.
+// decideTwice decides on a view, and returns an error if that changed the view or if
+// a second decision differs.
 func decideTwice(v View) (Plan, error) {
 	before := cloneView(v)
 	p := Decide(v)
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -4,21 +4,22 @@
 	"fmt"
 )
 
-// reportDeficits tells which guarantees the present hardware cannot back.
+// reportDeficits adds to the plan the guarantees that the present hardware cannot
+// back.
 func (d *decision) reportDeficits() {
-	missing := d.backing.Missing()
+	missing := d.backing.UnbackedSlots()
 	if len(missing) == 0 {
 		return
 	}
 	reason := d.deficitReason()
-	at := map[Deficit]int{}
+	index := map[Deficit]int{}
 	for _, slot := range missing {
 		s := d.assignment.Slots()[slot]
 		key := Deficit{Organisation: s.Organisation, Shape: s.Shape}
-		i, seen := at[key]
+		i, seen := index[key]
 		if !seen {
 			i = len(d.plan.Deficits)
-			at[key] = i
+			index[key] = i
 			key.Reason = reason
 			d.plan.Deficits = append(d.plan.Deficits, key)
 		}
@@ -26,23 +27,24 @@
 	}
 }
 
-// deficitReason tells lost hardware from guarantees that were too many.
+// deficitReason says whether unavailable workers or too many guarantees cause the
+// deficits.
 func (d *decision) deficitReason() string {
 	workers, accelerators := 0, 0
 	for _, w := range d.v.Workers {
-		if w.Unavailable != "" {
+		if w.UnavailableReason != "" {
 			workers++
 			accelerators += w.Accelerators
 		}
 	}
-	whole := d.whole().Clone()
+	allWorkers := d.idleCapacity().Clone()
 	slots := d.assignment.UnusedSlots(noSlot)
 	for i := range d.v.Running {
 		if g := &d.v.Running[i]; g.Guaranteed && !g.Stopping {
-			whole.TakeAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
+			allWorkers.AllocateAll(d.positions(g.Workers), g.Shape.AcceleratorsPerTask)
 		}
 	}
-	if workers > 0 && len(d.assignment.Back(whole, slots).Missing()) == 0 {
+	if workers > 0 && len(d.assignment.PlanBacking(allWorkers, slots).UnbackedSlots()) == 0 {
 		return fmt.Sprintf("%d workers with %d accelerators are unavailable; bring them back or lower the guarantees",
 			workers, accelerators)
 	}
--- a/placement/guaranteed.go
+++ b/placement/guaranteed.go
@@ -10,40 +10,42 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// What a reclaim costs, when choosing whom to stop.
+// Weights in the cost of stopping a gang, and the wait before reclaiming.
 const (
-	restartSeconds  = 180.0 // work time that a gang loses by a checkpoint and restart
-	urgentWeight    = 10.0  // stopping urgent work counts as this many times its cost
-	excessWeight    = 2.0   // stopping an organisation within its guarantees, per excess share
-	reclaimPatience = 2 * time.Minute
+	restartCostSeconds    = 180.0           // run time that a gang loses by a checkpoint and restart
+	urgentWeight          = 10.0            // factor on the cost of stopping an urgent gang
+	excessWeight          = 2.0             // the cost is divided by 1 + this times the organisation's excess share
+	nonUrgentReclaimDelay = 2 * time.Minute // wait of a guaranteed job that is not urgent before accelerators are reclaimed for it
 )
 
-// startGuaranteed starts the waiting jobs that fit an unused guaranteed shape,
-// or reclaims for them, and returns the other jobs. Urgent and older ones come
-// first, so that a later job never takes what was reclaimed for another.
-func (d *decision) startGuaranteed(queue []*Waiting) []*Waiting {
-	served := map[*Waiting]bool{}
-	for _, w := range byRight(queue, d.mayClaim()) {
+// startGuaranteed starts the waiting jobs that fit an unused guaranteed shape, or
+// reclaims accelerators for them, and returns the other jobs. Urgent jobs are served
+// first, then older ones, so that a later job never takes what was reclaimed for
+// another.
+func (d *decision) startGuaranteed(queue []*WaitingJob) []*WaitingJob {
+	served := map[*WaitingJob]bool{}
+	for _, w := range selectByUrgency(queue, d.mayClaim()) {
 		served[w] = d.serveGuaranteed(w)
 	}
-	return without(queue, served)
+	return withoutServed(queue, served)
 }
 
-// mayClaim returns a test whether a job may find an unused slot, which asks
-// the assignment but once for equal claims.
-func (d *decision) mayClaim() func(w *Waiting) bool {
+// mayClaim returns a function that reports whether a job can use an unused slot. It
+// asks the assignment only once for equal claims.
+func (d *decision) mayClaim() func(w *WaitingJob) bool {
 	known := map[guarantee.Claim]bool{}
-	return func(w *Waiting) bool {
+	return func(w *WaitingJob) bool {
 		c := claimOf(w.ID, w.Shape, w.Urgent)
 		found, ok := known[c]
 		if !ok {
-			_, found = d.assignment.Find(c)
+			_, found = d.assignment.FindSlot(c)
 			known[c] = found
 		}
 		return found
 	}
 }
 
+// compareUrgency sorts urgent before non-urgent.
 func compareUrgency(a, b bool) int {
 	switch {
 	case a == b:
@@ -55,50 +57,52 @@
 	}
 }
 
-// serveGuaranteed reports whether the job was started or reclaimed for.
-func (d *decision) serveGuaranteed(w *Waiting) bool {
-	slot, ok := d.assignment.Find(claimOf(w.ID, w.Shape, w.Urgent))
+// serveGuaranteed starts a job within its organisation's guarantee or reclaims
+// accelerators for it, and reports whether it did either.
+func (d *decision) serveGuaranteed(w *WaitingJob) bool {
+	slot, ok := d.assignment.FindSlot(claimOf(w.ID, w.Shape, w.Urgent))
 	if !ok || d.overQuota(w) {
 		return false
 	}
-	avoid := d.avoid(w)
-	spare := d.spare(slot)
-	if place := d.free.LimitedTo(spare).Fit(w.Shape, avoid); place != nil {
-		d.startWithin(w, place)
+	avoid := d.avoidFunc(w)
+	spare := d.capacityBesideBacking(slot)
+	if placement := d.free.LimitedTo(spare).Fit(w.Shape, avoid); placement != nil {
+		d.startGuaranteedJob(w, placement)
 		return true
 	}
-	if place := d.free.Fit(w.Shape, avoid); place != nil && d.leavesBacking(w, slot, place) {
-		d.startWithin(w, place)
+	if placement := d.free.Fit(w.Shape, avoid); placement != nil && d.keepsBacking(w, slot, placement) {
+		d.startGuaranteedJob(w, placement)
 		return true
 	}
-	if !w.Urgent && d.v.Now.Sub(w.Submitted) < reclaimPatience {
-		d.wakeAt(w.Submitted.Add(reclaimPatience))
+	if !w.Urgent && d.v.Now.Sub(w.Submitted) < nonUrgentReclaimDelay {
+		d.decideAgainAt(w.Submitted.Add(nonUrgentReclaimDelay))
 		return false
 	}
-	return d.reclaimWithin(w, spare, avoid)
+	return d.reclaimForGuaranteed(w, spare, avoid)
 }
 
-// startWithin starts a job within its organisation's guarantee.
-func (d *decision) startWithin(w *Waiting, place []int) {
-	d.claim(w, place)
-	d.start(w, place, true)
+// startGuaranteedJob starts a job within its organisation's guarantee.
+func (d *decision) startGuaranteedJob(w *WaitingJob, placement []int) {
+	d.claimSlot(w, placement)
+	d.startJob(w, placement, true)
 }
 
-// claim makes the place firm and the job's slot used. The places that back
-// other slots stay as they are unless the place took some of them.
-func (d *decision) claim(w *Waiting, place []int) {
-	slot, _ := d.assignment.Add(claimOf(w.ID, w.Shape, w.Urgent))
-	spare := d.spare(slot)
-	d.firm.TakeAll(place, w.Shape.AcceleratorsPerTask)
-	if !holds(spare, place, w.Shape) {
-		d.backing = d.assignment.Back(d.firm, d.assignment.UnusedSlots(noSlot))
+// claimSlot marks the job's slot as used and the placement as guaranteed. The
+// placements that back other slots stay as they are unless the job takes some of
+// their accelerators.
+func (d *decision) claimSlot(w *WaitingJob, placement []int) {
+	slot, _ := d.assignment.AddClaim(claimOf(w.ID, w.Shape, w.Urgent))
+	spare := d.capacityBesideBacking(slot)
+	d.unguaranteed.AllocateAll(placement, w.Shape.AcceleratorsPerTask)
+	if !hasRoomAt(spare, placement, w.Shape) {
+		d.backing = d.assignment.PlanBacking(d.unguaranteed, d.assignment.UnusedSlots(noSlot))
 	}
 }
 
-// holds reports whether the capacity has room for the shape at the place.
-func holds(k *topology.Capacity, place []int, s job.Shape) bool {
+// hasRoomAt reports whether the capacity has room for the shape at the placement.
+func hasRoomAt(k *topology.Capacity, placement []int, s job.Shape) bool {
 	need := map[int]int{}
-	for _, w := range place {
+	for _, w := range placement {
 		need[w] += s.AcceleratorsPerTask
 		if need[w] > k.Free(w) {
 			return false
@@ -107,93 +111,95 @@
 	return true
 }
 
-// spare returns what neither guaranteed work nor the backing of unused slots
-// other than the given one holds.
-func (d *decision) spare(slot int) *topology.Capacity {
-	k := d.firm.Clone()
+// capacityBesideBacking returns the capacity that is used neither by guaranteed
+// gangs nor by the backing of unused slots other than the given one.
+func (d *decision) capacityBesideBacking(slot int) *topology.Capacity {
+	k := d.unguaranteed.Clone()
 	for s, unused := range d.assignment.Slots() {
 		if s != slot && d.assignment.Unused(s) {
-			k.TakeAll(d.backing.Place(s), unused.Shape.AcceleratorsPerTask)
+			k.AllocateAll(d.backing.Placement(s), unused.Shape.AcceleratorsPerTask)
 		}
 	}
 	return k
 }
 
-// leavesBacking reports whether as many of the other unused slots can be
-// backed once the job runs at the place as before.
-func (d *decision) leavesBacking(w *Waiting, slot int, place []int) bool {
+// keepsBacking reports whether, once the job runs at the placement, at least as
+// many of the other unused slots can be backed as before.
+func (d *decision) keepsBacking(w *WaitingJob, slot int, placement []int) bool {
 	others := d.assignment.UnusedSlots(slot)
 	before := 0
-	if len(d.backing.Missing()) > 0 {
-		before = len(d.assignment.Back(d.firm, others).Missing())
+	if len(d.backing.UnbackedSlots()) > 0 {
+		before = len(d.assignment.PlanBacking(d.unguaranteed, others).UnbackedSlots())
 	}
-	k := d.firm.Clone()
-	k.TakeAll(place, w.Shape.AcceleratorsPerTask)
-	return len(d.assignment.Back(k, others).Missing()) <= before
+	k := d.unguaranteed.Clone()
+	k.AllocateAll(placement, w.Shape.AcceleratorsPerTask)
+	return len(d.assignment.PlanBacking(k, others).UnbackedSlots()) <= before
 }
 
-// reclaimWithin sets accelerators aside for a guaranteed job and asks the
-// borrowers on them to stop. What is stopping already is used first.
-func (d *decision) reclaimWithin(w *Waiting, spare *topology.Capacity, avoid topology.Avoid) bool {
-	room := d.soon.LimitedTo(spare)
-	choice, ok := d.choose(room, w, avoid, func(int) bool { return true })
+// reclaimForGuaranteed sets accelerators aside for a guaranteed job and asks the
+// borrowers on them to stop. Accelerators of gangs that are already stopping are
+// used first.
+func (d *decision) reclaimForGuaranteed(w *WaitingJob, spare *topology.Capacity, avoid topology.AvoidFunc) bool {
+	available := d.freeSoon.LimitedTo(spare)
+	choice, ok := d.chooseVictims(available, w, avoid, func(int) bool { return true })
 	if !ok {
 		return false
 	}
-	d.claim(w, choice.Place)
-	d.commit(w, choice, fmt.Sprintf("its accelerators are guaranteed to organisation %s", w.ID.Organisation))
-	d.hold(w, reasonReclaiming)
+	d.claimSlot(w, choice.Placement)
+	d.reclaimAndSetAside(w, choice, fmt.Sprintf("its accelerators are guaranteed to organisation %s", w.ID.Organisation))
+	d.holdJob(w, reasonGuaranteedReclaiming)
 	return true
 }
 
-// commit reclaims what a choice names and sets its place aside.
-func (d *decision) commit(w *Waiting, c guarantee.Choice, reason string) {
-	d.reclaim(c.Victims, w.ID, reason)
-	d.setAside(c.Place, w.Shape)
-	d.use(w.ID.Organisation, w.Team, w.Shape)
+// reclaimAndSetAside reclaims the victims of a choice and sets its placement aside
+// for the job.
+func (d *decision) reclaimAndSetAside(w *WaitingJob, c guarantee.Choice, reason string) {
+	d.reclaimBorrowers(c.Victims, w.ID, reason)
+	d.setAside(c.Placement, w.Shape)
+	d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 }
 
-// choose picks the borrowers to stop for a job among those that are allowed
-// and not yet asked to.
-func (d *decision) choose(room *topology.Capacity, w *Waiting, avoid topology.Avoid, allowed func(borrower int) bool) (guarantee.Choice, bool) {
+// chooseVictims chooses the borrowers to stop for a job among those that are
+// allowed and not yet asked to stop.
+func (d *decision) chooseVictims(available *topology.Capacity, w *WaitingJob, avoid topology.AvoidFunc, allowed func(borrower int) bool) (guarantee.Choice, bool) {
 	if d.reclaimer == nil {
 		d.reclaimer = d.newReclaimer()
 		d.victims = make([]bool, len(d.borrowers))
 	}
-	return d.reclaimer.Choose(room, w.Shape, avoid, func(b int) bool { return !d.victims[b] && allowed(b) })
+	return d.reclaimer.ChooseVictims(available, w.Shape, avoid, func(b int) bool { return !d.victims[b] && allowed(b) })
 }
 
 func (d *decision) newReclaimer() *guarantee.Reclaimer {
-	excess := d.excess()
+	excess := d.excessShares()
 	bs := make([]guarantee.Borrower, len(d.borrowers))
 	for b, i := range d.borrowers {
 		g := &d.v.Running[i]
 		bs[b] = guarantee.Borrower{
-			Workers:             d.places[i],
+			Workers:             d.placements[i],
 			AcceleratorsPerTask: g.Shape.AcceleratorsPerTask,
-			Cost:                d.lost(g) / (1 + excessWeight*excess[g.ID.Organisation]),
+			Cost:                d.lostWork(g) / (1 + excessWeight*excess[g.ID.Organisation]),
 		}
 		if g.Urgent {
-			bs[b].Cost = urgentWeight * (bs[b].Cost + guarantee.GangCost)
+			bs[b].Cost = urgentWeight * (bs[b].Cost + guarantee.FixedStopCost)
 		}
 	}
 	return guarantee.NewReclaimer(d.cluster, bs)
 }
 
-// lost returns the accelerator-seconds that stopping a gang wastes.
-func (d *decision) lost(g *Gang) float64 {
+// lostWork returns the accelerator-seconds lost by stopping a gang.
+func (d *decision) lostWork(g *Gang) float64 {
 	if g.Checkpoint {
-		return restartSeconds * float64(g.Shape.Accelerators())
+		return restartCostSeconds * float64(g.Shape.Accelerators())
 	}
 	return max(0, d.v.Now.Sub(g.Started).Seconds()) * float64(g.Shape.Accelerators())
 }
 
-// excess returns, for each organisation, the share of all accelerators that it
-// uses beyond its guarantees.
-func (d *decision) excess() map[string]float64 {
-	promised := map[string]int{}
+// excessShares returns, for each organisation, the share of all accelerators that
+// it uses beyond its guarantees.
+func (d *decision) excessShares() map[string]float64 {
+	guaranteed := map[string]int{}
 	for _, s := range d.assignment.Slots() {
-		promised[s.Organisation] += s.Shape.Accelerators()
+		guaranteed[s.Organisation] += s.Shape.Accelerators()
 	}
 	all := 0
 	for _, w := range d.v.Workers {
@@ -201,13 +207,13 @@
 	}
 	out := map[string]float64{}
 	for org, n := range d.usage {
-		out[org] = float64(max(0, n-promised[org])) / float64(max(all, 1))
+		out[org] = float64(max(0, n-guaranteed[org])) / float64(max(all, 1))
 	}
 	return out
 }
 
-// compareHolders orders gangs by their right to keep a guarantee.
-func compareHolders(a, b *Gang) int {
+// compareGuaranteedGangs orders gangs by their precedence for keeping a guarantee.
+func compareGuaranteedGangs(a, b *Gang) int {
 	return cmp.Or(
 		compareUrgency(a.Urgent, b.Urgent),
 		cmp.Compare(b.Shape.Accelerators(), a.Shape.Accelerators()),
--- a/placement/probe.go
+++ b/placement/probe.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// startProbes gives each idle worker on trial one job of a single task, and
-// returns the other jobs. A probe is never urgent work, and never counts
-// against a guarantee.
-func (d *decision) startProbes(queue []*Waiting) []*Waiting {
+// startProbes starts one job of a single task on each idle probing worker, and
+// returns the other jobs. A probe is never an urgent job, and never counts against a
+// guarantee.
+func (d *decision) startProbes(queue []*WaitingJob) []*WaitingJob {
 	for i := range d.v.Workers {
 		worker := &d.v.Workers[i]
-		if !worker.Probing || worker.Unavailable != "" || d.busy(worker.Name) {
+		if !worker.Probing || worker.UnavailableReason != "" || d.hasRunningTask(worker.Name) {
 			continue
 		}
-		j := slices.IndexFunc(queue, func(w *Waiting) bool { return d.probes(w, worker) })
+		j := slices.IndexFunc(queue, func(w *WaitingJob) bool { return d.canProbe(w, worker) })
 		if j < 0 {
 			continue
 		}
 		w := queue[j]
 		d.plan.Starts = append(d.plan.Starts, Start{ID: w.ID, Workers: []string{worker.Name}})
-		d.use(w.ID.Organisation, w.Team, w.Shape)
+		d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 		queue = slices.Delete(queue, j, j+1)
 	}
 	return queue
 }
 
-// probes reports whether a job can show that a worker is well again.
-func (d *decision) probes(w *Waiting, worker *Worker) bool {
+// canProbe reports whether a job is suitable to test that a worker has recovered.
+func (d *decision) canProbe(w *WaitingJob, worker *Worker) bool {
 	return w.Shape.Tasks == 1 &&
 		w.Shape.AcceleratorsPerTask <= worker.Accelerators &&
 		!w.Urgent &&
@@ -32,7 +32,7 @@
 		!d.overQuota(w)
 }
 
-// busy reports whether any running gang has a task on a worker.
-func (d *decision) busy(name string) bool {
+// hasRunningTask reports whether any running gang has a task on a worker.
+func (d *decision) hasRunningTask(name string) bool {
 	return slices.ContainsFunc(d.v.Running, func(g Gang) bool { return slices.Contains(g.Workers, name) })
 }
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -2,16 +2,16 @@
 
 import "github.com/cyclamentray/cyclamentray/job"
 
-// Pull returns which of the jobs offered by other failure domains, where they
-// are held, this one could start at once beside its own jobs and reservations.
-// They are taken in the order offered. It does not change v.
-func Pull(v View, offered []Waiting) []job.ID {
+// PullableJobs returns which of the jobs offered by other failure domains, where
+// they are held, this one could start at once beside its own jobs and reservations.
+// It considers them in the order offered and does not change v.
+func PullableJobs(v View, offered []WaitingJob) []job.ID {
 	if v.Out || len(offered) == 0 {
 		return nil
 	}
 	d := decide(&v)
 	if len(d.plan.Reclaims) > 0 {
-		return nil // it is short of room itself
+		return nil // this failure domain lacks free accelerators itself
 	}
 	var out []job.ID
 	for i := range offered {
@@ -19,12 +19,12 @@
 		if d.overQuota(w) {
 			continue
 		}
-		place := d.left.Fit(w.Shape, d.avoid(w))
-		if place == nil {
+		placement := d.remaining.Fit(w.Shape, d.avoidFunc(w))
+		if placement == nil {
 			continue
 		}
-		d.left.TakeAll(place, w.Shape.AcceleratorsPerTask)
-		d.use(w.ID.Organisation, w.Team, w.Shape)
+		d.remaining.AllocateAll(placement, w.Shape.AcceleratorsPerTask)
+		d.addUsage(w.ID.Organisation, w.Team, w.Shape)
 		out = append(out, w.ID)
 	}
 	return out
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -10,59 +10,61 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// Powers of a job's expected run time and accelerators by which its wait counts
-// for less when jobs are ordered.
+// Exponents of a job's expected run time and size in its score. With larger ones
+// the wait of a long or large job counts for less.
 const (
-	runWeight  = 1.5
-	sizeWeight = 1.5
+	runExponent  = 1.5
+	sizeExponent = 1.5
 )
 
-// shareWeight makes a job count as larger by its organisation's share of the
-// accelerators in use, so that one organisation's queue does not hold up others.
+// shareWeight scales how much larger a job counts in its score by its
+// organisation's share of the accelerators in use, so that one organisation's
+// queue does not hold up the others.
 const shareWeight = 8.0
 
-// Bounds of what one decision reclaims for urgent work outside guarantees.
+// Limits on reclaiming for urgent jobs outside guarantees.
 const (
-	maxClearings  = 2
-	clearingPause = 200 * time.Millisecond // before the next decision goes on with it
+	maxUrgentReclaimAttempts = 2                      // in one decision
+	urgentReclaimInterval    = 200 * time.Millisecond // delay until the next decision continues
 )
 
-// overdueAfter is the wait after which a job goes before all that are not
-// overdue, and may displace others whatever it costs them.
+// overdueAfter is the wait after which a job precedes all jobs that are not
+// overdue, and may displace other gangs whatever the delay costs them.
 const overdueAfter = 12 * time.Hour
 
-// ranked is a waiting job with its place in the order.
-type ranked struct {
-	w       *Waiting
+// rankedJob is a waiting job with the keys by which the queue is sorted.
+type rankedJob struct {
+	w       *WaitingJob
 	score   float64
 	overdue bool
 }
 
-// admit holds the jobs that can never run and returns the others in order:
-// overdue ones, then those that have waited longest for their work.
-func (d *decision) admit() []*Waiting {
-	queue := make([]ranked, 0, len(d.v.Waiting))
+// admitJobs holds the jobs that can never run here and returns the others sorted:
+// overdue jobs first, then by score.
+func (d *decision) admitJobs() []*WaitingJob {
+	queue := make([]rankedJob, 0, len(d.v.Waiting))
 	for i := range d.v.Waiting {
 		w := &d.v.Waiting[i]
-		if reason := d.neverRuns(w.Shape); reason != "" {
-			d.hold(w, reason)
+		if reason := d.infeasibleReason(w.Shape); reason != "" {
+			d.holdJob(w, reason)
 			continue
 		}
-		queue = append(queue, ranked{w, d.score(w), d.overdue(w)})
+		queue = append(queue, rankedJob{w, d.score(w), d.overdue(w)})
 	}
 	slices.SortFunc(queue, compareRanked)
-	out := make([]*Waiting, len(queue))
+	out := make([]*WaitingJob, len(queue))
 	for i, r := range queue {
 		out[i] = r.w
 	}
 	return out
 }
 
-// compareRanked puts overdue jobs first, oldest first, then orders by score.
-func compareRanked(a, b ranked) int {
+// compareRanked sorts overdue jobs first, oldest first, and the others by score,
+// highest first.
+func compareRanked(a, b rankedJob) int {
 	switch {
 	case a.overdue && b.overdue:
-		return compareAges(a.w, b.w)
+		return compareSubmissions(a.w, b.w)
 	case a.overdue:
 		return -1
 	case b.overdue:
@@ -71,83 +73,86 @@
 	if c := cmp.Compare(b.score, a.score); c != 0 {
 		return c
 	}
-	return compareAges(a.w, b.w)
+	return compareSubmissions(a.w, b.w)
 }
 
-// compareAges orders jobs by submission.
-func compareAges(a, b *Waiting) int {
+// compareSubmissions orders jobs by submission time, then by ID.
+func compareSubmissions(a, b *WaitingJob) int {
 	if c := a.Submitted.Compare(b.Submitted); c != 0 {
 		return c
 	}
 	return compareIDs(a.ID, b.ID)
 }
 
-// overdue reports whether a job has waited too long and fits beside all
-// guarantees. One that does not can run only while guarantees are not used, so
-// that keeping accelerators for it would hold up others for nothing.
-func (d *decision) overdue(w *Waiting) bool {
+// overdue reports whether a job has waited for overdueAfter and fits beside the
+// backing of all guarantees. A job that does not fit there can run only while
+// guarantees are unused, so keeping accelerators for it would delay other jobs in
+// vain.
+func (d *decision) overdue(w *WaitingJob) bool {
 	if d.v.Now.Sub(w.Submitted) < overdueAfter {
 		return false
 	}
-	fits, known := d.beside[w.Shape]
+	fits, known := d.fitsBesideGuarantees[w.Shape]
 	if !known {
-		fits = d.spare(noSlot).Fit(w.Shape, nil) != nil
-		d.beside[w.Shape] = fits
+		fits = d.capacityBesideBacking(noSlot).Fit(w.Shape, nil) != nil
+		d.fitsBesideGuarantees[w.Shape] = fits
 	}
 	return fits
 }
 
-// score grows with a job's wait, and falls with its expected run time and its
-// size: little work that has waited long comes first.
-func (d *decision) score(w *Waiting) float64 {
-	run := d.predicts.order(w).Seconds()
+// score returns a job's priority among those that are not overdue. It grows with
+// the wait, and falls with the expected run time and the size, so that small jobs
+// that have waited long come first.
+func (d *decision) score(w *WaitingJob) float64 {
+	run := d.predictor.orderingRun(w).Seconds()
 	size := float64(max(1, w.Shape.Accelerators()))
-	size *= 1 + shareWeight*float64(d.usage[w.ID.Organisation])/float64(max(1, d.whole().TotalFree()))
+	size *= 1 + shareWeight*float64(d.usage[w.ID.Organisation])/float64(max(1, d.idleCapacity().TotalFree()))
 	waited := max(0, d.v.Now.Sub(w.Submitted).Seconds())
-	return (waited + run*size) / (math.Pow(run, runWeight) * math.Pow(size, sizeWeight))
+	return (waited + run*size) / (math.Pow(run, runExponent) * math.Pow(size, sizeExponent))
 }
 
-// neverRuns tells why a shape fits on no workers here, even on those that are
-// unavailable now; empty if it does.
-func (d *decision) neverRuns(s job.Shape) string {
-	reason, known := d.feasible[s]
+// infeasibleReason returns why a shape fits on no workers here, unavailable ones
+// included, or an empty string if it fits.
+func (d *decision) infeasibleReason(s job.Shape) string {
+	reason, known := d.infeasibleReasons[s]
 	if known {
 		return reason
 	}
 	why, remedy := malformed(s)
 	if why == "" {
-		_, why, remedy = feasibleOn(d.whole(), s)
+		_, why, remedy = feasibleOn(d.idleCapacity(), s)
 	}
 	if why != "" {
 		reason = why + "; " + remedy
 	}
-	d.feasible[s] = reason
+	d.infeasibleReasons[s] = reason
 	return reason
 }
 
-// whole returns the capacity of all workers with nothing running, unavailable
-// ones included.
-func (d *decision) whole() *topology.Capacity {
-	if d.empty == nil {
-		d.empty = topology.NewCapacity(d.cluster.AllAvailable())
+// idleCapacity returns the capacity of all workers, unavailable ones included, with
+// nothing running.
+func (d *decision) idleCapacity() *topology.Capacity {
+	if d.idle == nil {
+		d.idle = topology.NewCapacity(d.cluster.AllAvailable())
 	}
-	return d.empty
+	return d.idle
 }
 
 // overQuota reports whether a job would take its team over its quota.
-func (d *decision) overQuota(w *Waiting) bool {
-	q := d.teams[team{w.ID.Organisation, w.Team}]
+func (d *decision) overQuota(w *WaitingJob) bool {
+	q := d.teams[teamKey{w.ID.Organisation, w.Team}]
 	return q != nil && q.limit > 0 && q.used+w.Shape.Accelerators() > q.limit
 }
 
-func (d *decision) holdForQuota(w *Waiting) {
-	t := team{w.ID.Organisation, w.Team}
-	d.hold(w, d.teams[t].reason(t, w.Shape))
+func (d *decision) holdForQuota(w *WaitingJob) {
+	t := teamKey{w.ID.Organisation, w.Team}
+	d.holdJob(w, d.teams[t].exceededReason(t, w.Shape))
 }
 
-// avoid reports the workers on which a job has failed. They are used all the
-// same when no other workers could ever hold it.
-func (d *decision) avoid(w *Waiting) topology.Avoid {
+// avoidFunc reports the workers on which a job has failed. It returns nil, so that
+// they are used all the same, if the job does not fit on the other workers even
+// when nothing else runs.
+func (d *decision) avoidFunc(w *WaitingJob) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
 	}
@@ -162,67 +167,72 @@
 	return avoid
 }
 
-// startUrgent starts urgent jobs outside guarantees where accelerators are
-// free, or reclaims from borrowers that are not urgent. It returns the rest.
-func (d *decision) startUrgent(queue []*Waiting) []*Waiting {
-	urgent := byRight(queue, func(w *Waiting) bool { return w.Urgent })
-	served := map[*Waiting]bool{}
+// startUrgent starts urgent jobs outside guarantees where accelerators are free, or
+// reclaims accelerators for them from borrowers that are not urgent. It returns the
+// jobs that it did not serve.
+func (d *decision) startUrgent(queue []*WaitingJob) []*WaitingJob {
+	urgent := selectByUrgency(queue, func(w *WaitingJob) bool { return w.Urgent })
+	served := map[*WaitingJob]bool{}
 	for _, w := range urgent {
 		served[w] = !d.overQuota(w) && d.serveUrgent(w)
 	}
-	return without(queue, served)
+	return withoutServed(queue, served)
 }
 
-// byRight returns the jobs that match, urgent ones first, then by submission.
-func byRight(queue []*Waiting, match func(w *Waiting) bool) []*Waiting {
-	var out []*Waiting
+// selectByUrgency returns the jobs that match, urgent ones first, then by
+// submission time.
+func selectByUrgency(queue []*WaitingJob, match func(w *WaitingJob) bool) []*WaitingJob {
+	var out []*WaitingJob
 	for _, w := range queue {
 		if match(w) {
 			out = append(out, w)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Waiting) int {
+	slices.SortFunc(out, func(a, b *WaitingJob) int {
 		if c := compareUrgency(a.Urgent, b.Urgent); c != 0 {
 			return c
 		}
-		return compareAges(a, b)
+		return compareSubmissions(a, b)
 	})
 	return out
 }
 
-// without returns the queue without the jobs that are served.
-func without(queue []*Waiting, served map[*Waiting]bool) []*Waiting {
+// withoutServed returns the queue without the jobs that were served.
+func withoutServed(queue []*WaitingJob, served map[*WaitingJob]bool) []*WaitingJob {
 	if len(served) == 0 {
 		return queue
 	}
-	return slices.DeleteFunc(queue, func(w *Waiting) bool { return served[w] })
+	return slices.DeleteFunc(queue, func(w *WaitingJob) bool { return served[w] })
 }
 
-func (d *decision) serveUrgent(w *Waiting) bool {
-	avoid := d.avoid(w)
-	if place := d.free.Fit(w.Shape, avoid); place != nil {
-		d.start(w, place, false)
+// serveUrgent starts an urgent job or reclaims accelerators for it, and reports
+// whether it did either.
+func (d *decision) serveUrgent(w *WaitingJob) bool {
+	avoid := d.avoidFunc(w)
+	if placement := d.free.Fit(w.Shape, avoid); placement != nil {
+		d.startJob(w, placement, false)
 		return true
 	}
 	if d.noVictims[w.Shape] {
 		return false
 	}
-	if d.cleared++; d.cleared > maxClearings {
-		d.wakeAt(d.v.Now.Add(clearingPause))
+	if d.urgentReclaimAttempts++; d.urgentReclaimAttempts > maxUrgentReclaimAttempts {
+		d.decideAgainAt(d.v.Now.Add(urgentReclaimInterval))
 		return false
 	}
-	choice, ok := d.choose(d.soon, w, avoid, func(b int) bool { return !d.v.Running[d.borrowers[b]].Urgent })
+	choice, ok := d.chooseVictims(d.freeSoon, w, avoid, func(b int) bool { return !d.v.Running[d.borrowers[b]].Urgent })
 	if !ok {
 		d.noVictims[w.Shape] = true
 		return false
 	}
-	d.commit(w, choice, reasonUrgent)
-	d.hold(w, reasonClearing)
+	d.reclaimAndSetAside(w, choice, reasonUrgentWork)
+	d.holdJob(w, reasonUrgentReclaiming)
 	return true
 }
 
-func (d *decision) wakeAt(t time.Time) {
-	if d.plan.Wake.IsZero() || t.Before(d.plan.Wake) {
-		d.plan.Wake = t
+// decideAgainAt makes the plan ask for the next decision at t or earlier.
+func (d *decision) decideAgainAt(t time.Time) {
+	if d.plan.DecideAgainAt.IsZero() || t.Before(d.plan.DecideAgainAt) {
+		d.plan.DecideAgainAt = t
 	}
 }
--- a/placement/topology/fit.go
+++ b/placement/topology/fit.go
@@ -6,14 +6,15 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// Avoid reports workers that a gang must not use; nil avoids none.
-type Avoid func(w int) bool
+// AvoidFunc reports whether a gang must not use the worker at position w; a nil
+// AvoidFunc excludes none.
+type AvoidFunc func(w int) bool
 
 // Fit finds adjacent free accelerators for a shape and returns the worker of
-// each task, or nil. It takes the tightest place, so that whole workers and
-// whole racks stay whole.
-func (k *Capacity) Fit(s job.Shape, avoid Avoid) []int {
-	if s.Tasks <= 0 || s.Accelerators() > k.total {
+// each task, or nil if there are none. It prefers workers and racks with few free
+// accelerators, to avoid fragmenting empty ones.
+func (k *Capacity) Fit(s job.Shape, avoid AvoidFunc) []int {
+	if s.Tasks <= 0 || s.Accelerators() > k.totalFree {
 		return nil
 	}
 	switch s.Adjacency {
@@ -26,23 +27,23 @@
 	}
 }
 
-// FitWithin places a shape's tasks on the given workers, whatever its
-// adjacency, or returns nil if they lack the room.
-func (k *Capacity) FitWithin(workers []int, s job.Shape, avoid Avoid) []int {
-	if k.Slots(workers, s, avoid) < s.Tasks {
+// FitWithin places a shape's tasks on the given workers and returns the worker
+// of each task, or nil if they lack the capacity. It ignores the adjacency.
+func (k *Capacity) FitWithin(workers []int, s job.Shape, avoid AvoidFunc) []int {
+	if k.TaskCapacity(workers, s, avoid) < s.Tasks {
 		return nil
 	}
-	return k.fill(workers, s, avoid)
+	return k.fillWorkers(workers, s, avoid)
 }
 
-func (k *Capacity) fitWorker(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitWorker(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
-		if k.rackFree[r] < s.Accelerators() {
+		if k.freeByRack[r] < s.Accelerators() {
 			continue
 		}
 		for _, w := range rack {
-			if k.usable(w, avoid) && k.Free(w) >= s.Accelerators() && (best < 0 || k.tighter(w, best)) {
+			if k.usable(w, avoid) && k.Free(w) >= s.Accelerators() && (best < 0 || k.tighterFit(w, best)) {
 				best = w
 			}
 		}
@@ -53,52 +54,52 @@
 	return slices.Repeat([]int{best}, s.Tasks)
 }
 
-// tighter prefers the worker with less free, then the one in the fuller rack,
-// then the one with fewer tasks.
-func (k *Capacity) tighter(a, b int) bool {
+// tighterFit reports whether worker a is preferred to worker b: it has fewer
+// free accelerators, else its rack has, else it runs fewer tasks.
+func (k *Capacity) tighterFit(a, b int) bool {
 	if k.Free(a) != k.Free(b) {
 		return k.Free(a) < k.Free(b)
 	}
-	if ra, rb := k.rackFree[k.rackOf[a]], k.rackFree[k.rackOf[b]]; ra != rb {
+	if ra, rb := k.freeByRack[k.rackOf[a]], k.freeByRack[k.rackOf[b]]; ra != rb {
 		return ra < rb
 	}
 	return k.tasks[a] < k.tasks[b]
 }
 
-func (k *Capacity) fitRack(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitRack(s job.Shape, avoid AvoidFunc) []int {
 	best := -1
 	for r, rack := range k.racks {
-		if k.rackFree[r] < s.Accelerators() || best >= 0 && k.rackFree[r] >= k.rackFree[best] {
+		if k.freeByRack[r] < s.Accelerators() || best >= 0 && k.freeByRack[r] >= k.freeByRack[best] {
 			continue
 		}
-		if k.Slots(rack, s, avoid) >= s.Tasks {
+		if k.TaskCapacity(rack, s, avoid) >= s.Tasks {
 			best = r
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	return k.fill(k.racks[best], s, avoid)
+	return k.fillWorkers(k.racks[best], s, avoid)
 }
 
-func (k *Capacity) fitAnywhere(s job.Shape, avoid Avoid) []int {
+func (k *Capacity) fitAnywhere(s job.Shape, avoid AvoidFunc) []int {
 	racks := make([]int, 0, len(k.racks))
-	slots := 0
+	taskCapacity := 0
 	for r, rack := range k.racks {
-		if n := k.Slots(rack, s, avoid); n > 0 {
+		if n := k.TaskCapacity(rack, s, avoid); n > 0 {
 			racks = append(racks, r)
-			slots += n
+			taskCapacity += n
 		}
 	}
-	if slots < s.Tasks {
+	if taskCapacity < s.Tasks {
 		return nil
 	}
-	slices.SortStableFunc(racks, func(a, b int) int { return k.rackFree[a] - k.rackFree[b] })
+	slices.SortStableFunc(racks, func(a, b int) int { return k.freeByRack[a] - k.freeByRack[b] })
 	left := s
 	var out []int
 	for _, r := range racks {
-		left.Tasks = min(s.Tasks-len(out), k.Slots(k.racks[r], s, avoid))
-		out = append(out, k.fill(k.racks[r], left, avoid)...)
+		left.Tasks = min(s.Tasks-len(out), k.TaskCapacity(k.racks[r], s, avoid))
+		out = append(out, k.fillWorkers(k.racks[r], left, avoid)...)
 		if len(out) == s.Tasks {
 			break
 		}
@@ -106,22 +107,23 @@
 	return out
 }
 
-// fill places a shape's tasks on workers that are known to have room.
-func (k *Capacity) fill(workers []int, s job.Shape, avoid Avoid) []int {
-	order := k.scratch[:0]
+// fillWorkers places a shape's tasks on workers that together have room for
+// them, starting with those that have the fewest free accelerators.
+func (k *Capacity) fillWorkers(workers []int, s job.Shape, avoid AvoidFunc) []int {
+	order := k.fillOrder[:0]
 	for _, w := range workers {
-		if k.SlotsOn(w, s, avoid) > 0 {
+		if k.TaskCapacityOn(w, s, avoid) > 0 {
 			order = append(order, w)
 		}
 	}
-	k.scratch = order
+	k.fillOrder = order
 	if s.AcceleratorsPerTask == 0 {
-		return k.spread(order, s.Tasks)
+		return k.spreadTasks(order, s.Tasks)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return k.Free(a) - k.Free(b) })
 	out := make([]int, 0, s.Tasks)
 	for _, w := range order {
-		n := min(s.Tasks-len(out), k.SlotsOn(w, s, avoid))
+		n := min(s.Tasks-len(out), k.TaskCapacityOn(w, s, avoid))
 		for range n {
 			out = append(out, w)
 		}
@@ -129,8 +131,9 @@
 	return out
 }
 
-// spread deals tasks without accelerators to the workers with fewest tasks.
-func (k *Capacity) spread(workers []int, tasks int) []int {
+// spreadTasks distributes tasks without accelerators evenly over the workers,
+// starting with those that run the fewest tasks.
+func (k *Capacity) spreadTasks(workers []int, tasks int) []int {
 	slices.SortStableFunc(workers, func(a, b int) int { return k.tasks[a] - k.tasks[b] })
 	out := make([]int, tasks)
 	for i := range out {
@@ -139,17 +142,18 @@
 	return out
 }
 
-// Slots returns how many of a shape's tasks the given workers can take.
-func (k *Capacity) Slots(workers []int, s job.Shape, avoid Avoid) int {
+// TaskCapacity returns how many of a shape's tasks the given workers have room
+// for.
+func (k *Capacity) TaskCapacity(workers []int, s job.Shape, avoid AvoidFunc) int {
 	n := 0
 	for _, w := range workers {
-		n += k.SlotsOn(w, s, avoid)
+		n += k.TaskCapacityOn(w, s, avoid)
 	}
 	return n
 }
 
-// SlotsOn returns how many of a shape's tasks a worker can take.
-func (k *Capacity) SlotsOn(w int, s job.Shape, avoid Avoid) int {
+// TaskCapacityOn returns how many of a shape's tasks a worker has room for.
+func (k *Capacity) TaskCapacityOn(w int, s job.Shape, avoid AvoidFunc) int {
 	if !k.usable(w, avoid) {
 		return 0
 	}
@@ -159,6 +163,6 @@
 	return k.Free(w) / s.AcceleratorsPerTask
 }
 
-func (k *Capacity) usable(w int, avoid Avoid) bool {
+func (k *Capacity) usable(w int, avoid AvoidFunc) bool {
 	return !k.workers[w].Unavailable && (avoid == nil || !avoid(w))
 }
