--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -157,11 +157,11 @@
 	replica.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
-		MaxEarlyStart:          l.Early,
-		RemoteFactor:   l.RemoteFactor,
+		MaxEarlyStart:     l.Early,
+		RemoteFactor:      l.RemoteFactor,
 		InheritedLeaseEnd: now.Add(maxLeaseDuration(l.RunnerLease)),
-		LearnedSpeeds:        found.speeds,
-		Observe:        l.logDecision,
+		LearnedSpeeds:     found.speeds,
+		Observe:           l.logDecision,
 	})
 	recorded := make(map[string]kvstore.Item, len(found.progress))
 	for _, item := range found.progress {
--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -270,12 +270,12 @@
 
 func (h *Host) candidate() *dispatch.Candidate {
 	return &dispatch.Candidate{
-		Store:   h.Store,
-		Replica: h.Replica,
-		Host:    h.Name,
-		Log:     h.Log,
-		AcquireDelay:   h.electionDelay,
-		Lead:    func(ctx context.Context, t *dispatch.Term) { dispatch.Lead(ctx, h.Dispatch(), t) },
+		Store:        h.Store,
+		Replica:      h.Replica,
+		Host:         h.Name,
+		Log:          h.Log,
+		AcquireDelay: h.electionDelay,
+		Lead:         func(ctx context.Context, t *dispatch.Term) { dispatch.Lead(ctx, h.Dispatch(), t) },
 	}
 }
 
