--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -99,7 +99,7 @@
 	must.NoError(c.t, err)
 	req.Header.Set("Authorization", "Bearer "+callerToken)
 	if key != "" {
-		req.Header.Set(routing.HeaderKey, key)
+		req.Header.Set(routing.HeaderIdempotencyKey, key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	must.NoError(c.t, err)
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -69,7 +69,7 @@
 	span.SetAttributes(attribute.String("upstream", d.Upstream.Name))
 	x := &exchange{pool: r.pool(d.Upstream)}
 	limit := c.deadline
-	if patience := r.opts.Now().Add(d.Patience); c.idempotent && patience.Before(limit) {
+	if patience := r.opts.Now().Add(d.AttemptTimeout); c.idempotent && patience.Before(limit) {
 		limit = patience
 	}
 	req, err := c.request(ctx, d.Upstream.Address)
@@ -100,7 +100,7 @@
 		return err
 	}
 	id := strconv.FormatUint(requestNumber.Add(1), 36)
-	req.Header.Set(HeaderRequest, id)
+	req.Header.Set(HeaderRequestID, id)
 	resp, err := x.conn.roundTrip(req, limit)
 	x.sent = x.conn.sent
 	if err != nil {
@@ -116,8 +116,8 @@
 // An upstream that names none gets a fresh connection for each request: on a
 // reused one, a late second answer to an earlier request looks like this one's.
 func (x *exchange) checkEcho(resp *http.Response, id string) error {
-	named := resp.Header.Get(HeaderRequest)
-	resp.Header.Del(HeaderRequest)
+	named := resp.Header.Get(HeaderRequestID)
+	resp.Header.Del(HeaderRequestID)
 	x.echoed = named == id
 	if named != "" && !x.echoed {
 		return errCrossed
@@ -177,19 +177,19 @@
 }
 
 // result classifies the attempt for the choice of runners.
-func (x *exchange) result() Report {
+func (x *exchange) result() AttemptReport {
 	if x.answer == nil {
-		return Report{Result: Failed}
+		return AttemptReport{Result: Failed}
 	}
-	rep := Report{Result: Answered, Closing: x.answer.closing}
+	rep := AttemptReport{Result: Responded, ConnectionClose: x.answer.closing}
 	reason, refused := x.answer.refusal()
 	switch {
 	case refused && reason == "full":
-		rep.Result, rep.Closing = Full, false
+		rep.Result, rep.ConnectionClose = Full, false
 	case refused:
 		rep.Result = Leaving
 	case x.answer.status >= http.StatusInternalServerError:
-		rep.Result = BadAnswer
+		rep.Result = ServerError
 	}
 	return rep
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -36,7 +36,7 @@
 	must.NoError(b, err)
 	req.Header.Set("Organisation", "acme")
 	if key != "" {
-		req.Header.Set(routing.HeaderKey, key)
+		req.Header.Set(routing.HeaderIdempotencyKey, key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	must.NoError(b, err)
--- a/routing/call.go
+++ b/routing/call.go
@@ -84,7 +84,7 @@
 		body:         body,
 		deadline:     now.Add(timeout),
 		idempotent:   idempotent(req.Method, s.Requests),
-		key:          req.Header.Get(HeaderKey),
+		key:          req.Header.Get(HeaderIdempotencyKey),
 	}
 	return c, nil
 }
--- a/routing/core.go
+++ b/routing/core.go
@@ -19,40 +19,40 @@
 	minimumPatience = time.Second
 )
 
-// Fleet is what membership and configuration say about one service.
-type Fleet struct {
-	Self       kvstore.Host    // this entry host
-	EntryHosts []kvstore.Host  // the known entry hosts, this one included
-	Silent     map[string]bool // entry hosts that are not heard at present
-	Upstreams  []kvstore.Host  // the service's upstreams
-	Out        map[string]bool // failure domains taken out
+// Topology is what membership and configuration say about one service.
+type Topology struct {
+	Self         kvstore.Host    // this entry host
+	EntryHosts   []kvstore.Host  // the known entry hosts, this one included
+	Silent       map[string]bool // entry hosts that are not heard at present
+	Upstreams    []kvstore.Host  // the service's upstreams
+	OutOfService map[string]bool // failure domains taken out
 }
 
-// Result says how an attempt ended, as far as the choice of runners goes.
-type Result int
+// AttemptResult says how an attempt ended, as far as the choice of runners goes.
+type AttemptResult int
 
 // The results of an attempt.
 const (
-	Answered  Result = iota // a whole answer
-	BadAnswer               // a whole answer with a 5xx status
-	Failed                  // no connection, or no whole answer
-	Leaving                 // the upstream said that it is leaving
-	Full                    // the upstream said that it is full
-	Unused                  // the slot was given back without a request
+	Responded   AttemptResult = iota // a whole answer
+	ServerError                      // a whole answer with a 5xx status
+	Failed                           // no connection, or no whole answer
+	Leaving                          // the upstream said that it is leaving
+	Full                             // the upstream said that it is full
+	Unused                           // the slot was given back without a request
 )
 
-// Report tells the core that an attempt has ended.
-type Report struct {
-	Ticket  uint64
-	Result  Result
-	Closing bool // the answer carried Connection: close
+// AttemptReport tells the core that an attempt has ended.
+type AttemptReport struct {
+	Ticket          uint64
+	Result          AttemptResult
+	ConnectionClose bool // the answer carried Connection: close
 }
 
 // Dispatch sends a ticket to an upstream.
 type Dispatch struct {
-	Ticket   uint64
-	Upstream kvstore.Host
-	Patience time.Duration // an idempotent attempt is given up after this
+	Ticket         uint64
+	Upstream       kvstore.Host
+	AttemptTimeout time.Duration // an idempotent attempt is given up after this
 }
 
 // ShedReason says why a ticket is refused without having run.
@@ -82,10 +82,10 @@
 	runner *runner
 }
 
-// Core decides for one service on one entry host which request goes to which
+// Dispatcher decides for one service on one entry host which request goes to which
 // runner. It is pure: time and randomness are passed in. It is not safe for
 // concurrent use.
-type Core struct {
+type Dispatcher struct {
 	rng      *rand.Rand
 	fleet    fleet
 	queue    fairQueue
@@ -94,13 +94,13 @@
 	lastShed time.Time
 }
 
-// NewCore returns a core without runners.
-func NewCore(rng *rand.Rand) *Core {
-	return &Core{rng: rng, budget: newRetryBudget(), attempts: make(map[uint64]attempt)}
+// NewDispatcher returns a core without runners.
+func NewDispatcher(rng *rand.Rand) *Dispatcher {
+	return &Dispatcher{rng: rng, budget: newRetryBudget(), attempts: make(map[uint64]attempt)}
 }
 
-// Update takes a new membership or configuration into account.
-func (c *Core) Update(now time.Time, f Fleet) Decisions {
+// UpdateTopology takes a new membership or configuration into account.
+func (c *Dispatcher) UpdateTopology(now time.Time, f Topology) Decisions {
 	next := make([]*runner, 0, len(f.Upstreams))
 	for _, host := range f.Upstreams {
 		r := c.fleet.find(host.Name)
@@ -110,7 +110,7 @@
 		}
 		r.host = host
 		r.local = host.FailureDomain == f.Self.FailureDomain
-		r.out = f.Out[host.FailureDomain]
+		r.out = f.OutOfService[host.FailureDomain]
 		r.setShare(now, slotShare(host, f), known)
 		next = append(next, r)
 	}
@@ -122,7 +122,7 @@
 // sharers returns the names of the entry hosts that share an upstream. One that
 // is silent is left out, unless it stands in the upstream's failure domain: cut
 // off from here, it may well be using the upstream.
-func (f Fleet) sharers(upstream kvstore.Host) []string {
+func (f Topology) sharers(upstream kvstore.Host) []string {
 	var names []string
 	for _, h := range f.EntryHosts {
 		if !f.Silent[h.Name] || h.FailureDomain == upstream.FailureDomain {
@@ -134,7 +134,7 @@
 
 // slotShare bounds the slots also by the connections, of which each request
 // in flight uses one.
-func slotShare(host kvstore.Host, f Fleet) int {
+func slotShare(host kvstore.Host, f Topology) int {
 	names := f.sharers(host)
 	share := Share(host.Slots, host.Name, f.Self.Name, names)
 	if host.Connections > 0 {
@@ -145,7 +145,7 @@
 
 // Admit reports whether a request would be taken now; it changes nothing. The
 // driver asks before it spends a claim on the request.
-func (c *Core) Admit(now time.Time, t Ticket) (ShedReason, bool) {
+func (c *Dispatcher) Admit(now time.Time, t Ticket) (ShedReason, bool) {
 	if !c.anyUsable() {
 		return NoUpstream, false
 	}
@@ -158,18 +158,18 @@
 	}
 	ahead := float64(len(c.queue.line(t.Organisation).waiting)+1) * float64(max(1, c.queue.busyLines()))
 	wait := time.Duration(ahead / rate * float64(time.Second))
-	if now.Add(wait).After(t.QueueUntil) {
+	if now.Add(wait).After(t.QueueDeadline) {
 		return TooLate, false
 	}
 	return "", true
 }
 
-func (c *Core) anyUsable() bool {
+func (c *Dispatcher) anyUsable() bool {
 	return slices.ContainsFunc(c.fleet.runners, (*runner).usable)
 }
 
 // Submit takes a request: it is sent, waits, or is shed.
-func (c *Core) Submit(now time.Time, t Ticket) Decisions {
+func (c *Dispatcher) Submit(now time.Time, t Ticket) Decisions {
 	var d Decisions
 	if reason, ok := c.Admit(now, t); !ok {
 		return c.shed(now, d, t.ID, reason)
@@ -185,7 +185,7 @@
 	return d
 }
 
-func (c *Core) queueLimit() int {
+func (c *Dispatcher) queueLimit() int {
 	slots := 0
 	for _, r := range c.fleet.runners {
 		if r.usable() {
@@ -195,14 +195,14 @@
 	return max(minQueue, queuePerSlot*slots)
 }
 
-// Retry reports whether the retry budget allows one more attempt.
-func (c *Core) Retry() bool { return c.budget.spend() }
+// AllowRetry reports whether the retry budget allows one more attempt.
+func (c *Dispatcher) AllowRetry() bool { return c.budget.spend() }
 
 // Cancel takes a waiting request out; it reports whether it was still waiting.
-func (c *Core) Cancel(id uint64) bool { return c.queue.remove(id) }
+func (c *Dispatcher) Cancel(id uint64) bool { return c.queue.remove(id) }
 
-// Finish takes the end of an attempt into account.
-func (c *Core) Finish(now time.Time, rep Report) Decisions {
+// FinishAttempt takes the end of an attempt into account.
+func (c *Dispatcher) FinishAttempt(now time.Time, rep AttemptReport) Decisions {
 	a, ok := c.attempts[rep.Ticket]
 	if !ok {
 		return Decisions{}
@@ -216,20 +216,20 @@
 
 // work returns what a request took, in typical requests of its runner, so that
 // the runner's speed does not count.
-func work(now time.Time, r *runner, rep Report) float64 {
-	if rep.Result != Answered || r.samples == 0 {
+func work(now time.Time, r *runner, rep AttemptReport) float64 {
+	if rep.Result != Responded || r.samples == 0 {
 		return 1
 	}
 	took := now.Sub(r.started[rep.Ticket]).Seconds()
 	return min(maxWork, took/max(r.latency, minLatency))
 }
 
-func (c *Core) observe(now time.Time, r *runner, rep Report) {
+func (c *Dispatcher) observe(now time.Time, r *runner, rep AttemptReport) {
 	latency := now.Sub(r.started[rep.Ticket])
 	switch rep.Result {
-	case Answered:
+	case Responded:
 		r.succeed(now, latency)
-	case BadAnswer:
+	case ServerError:
 		r.badAnswers++
 		if r.badAnswers >= answerFailures {
 			r.fail(now, c.rng.Float64())
@@ -241,14 +241,14 @@
 	case Full:
 		r.hold(now.Add(fullHold))
 	}
-	if rep.Closing {
+	if rep.ConnectionClose {
 		r.leave(now)
 	}
 }
 
-// Probes returns the upstreams whose connection the driver is to probe; each
+// StartProbes returns the upstreams whose connection the driver is to probe; each
 // must be followed by Probed.
-func (c *Core) Probes(now time.Time) []kvstore.Host {
+func (c *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
 	for _, r := range c.fleet.runners {
 		if r.wantsProbe(now) {
@@ -259,9 +259,9 @@
 	return out
 }
 
-// Probed takes a probe's end into account: whether the upstream answered, and
+// FinishProbe takes a probe's end into account: whether the upstream answered, and
 // whether it said Connection: close.
-func (c *Core) Probed(now time.Time, upstream string, alive, closing bool) Decisions {
+func (c *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
 	if r := c.fleet.find(upstream); r != nil {
 		r.probed(now, alive, closing, c.rng.Float64())
 	}
@@ -269,13 +269,13 @@
 }
 
 // Tick sheds what has waited too long and uses slots that became free by time.
-func (c *Core) Tick(now time.Time) Decisions { return c.pump(now, Decisions{}) }
+func (c *Dispatcher) Tick(now time.Time) Decisions { return c.pump(now, Decisions{}) }
 
-// Waiting returns the number of waiting requests.
-func (c *Core) Waiting() int { return c.queue.length }
+// QueueLength returns the number of waiting requests.
+func (c *Dispatcher) QueueLength() int { return c.queue.length }
 
 // pump sends waiting tickets to free runners.
-func (c *Core) pump(now time.Time, d Decisions) Decisions {
+func (c *Dispatcher) pump(now time.Time, d Decisions) Decisions {
 	for _, t := range c.queue.expired(now) {
 		d = c.shed(now, d, t.ID, TooLate)
 	}
@@ -299,14 +299,14 @@
 	}
 }
 
-func (c *Core) send(now time.Time, t *Ticket, r *runner) Dispatch {
+func (c *Dispatcher) send(now time.Time, t *Ticket, r *runner) Dispatch {
 	r.started[t.ID] = now
 	c.attempts[t.ID] = attempt{ticket: t, runner: r}
 	patience := time.Duration(patienceFactor * r.latency * float64(time.Second))
-	return Dispatch{Ticket: t.ID, Upstream: r.host, Patience: max(patience, minimumPatience)}
+	return Dispatch{Ticket: t.ID, Upstream: r.host, AttemptTimeout: max(patience, minimumPatience)}
 }
 
-func (c *Core) shed(now time.Time, d Decisions, id uint64, reason ShedReason) Decisions {
+func (c *Dispatcher) shed(now time.Time, d Decisions, id uint64, reason ShedReason) Decisions {
 	if reason != NoUpstream {
 		c.lastShed = now
 	}
@@ -317,10 +317,10 @@
 // choose returns the runner for a ticket: the free one with the smallest cost,
 // unless waiting for a faster one that is busy is expected to end sooner. It
 // returns nil when the ticket is to wait.
-func (c *Core) choose(now time.Time, t *Ticket) *runner {
+func (c *Dispatcher) choose(now time.Time, t *Ticket) *runner {
 	best := c.fleet.best()
-	chosen := c.cheapest(now, best, t.Avoid)
-	if chosen == nil && len(t.Avoid) > 0 {
+	chosen := c.cheapest(now, best, t.AvoidUpstreams)
+	if chosen == nil && len(t.AvoidUpstreams) > 0 {
 		chosen = c.cheapest(now, best, nil)
 	}
 	if chosen == nil {
@@ -333,7 +333,7 @@
 	return chosen
 }
 
-func (c *Core) cheapest(now time.Time, best float64, avoid []string) *runner {
+func (c *Dispatcher) cheapest(now time.Time, best float64, avoid []string) *runner {
 	var chosen *runner
 	lowest := math.Inf(1)
 	ties := 0
@@ -358,7 +358,7 @@
 // waitingIsFaster compares a free runner of the given duration with waiting
 // for one of the busy faster runners. Everybody in the queue waits for those,
 // so the longer the queue, the slower a runner is still worth using.
-func (c *Core) waitingIsFaster(now time.Time, best, duration float64) bool {
+func (c *Dispatcher) waitingIsFaster(now time.Time, best, duration float64) bool {
 	rate, sum, busy := 0.0, 0.0, 0
 	for _, r := range c.fleet.runners {
 		n := len(r.started)
--- a/routing/core_test.go
+++ b/routing/core_test.go
@@ -16,17 +16,17 @@
 
 // testCore drives a core and answers its dispatches by hand.
 type testCore struct {
-	*Core
+	*Dispatcher
 	now  time.Time
 	next uint64
 	sent map[uint64]string // ticket to upstream
 	shed map[uint64]ShedReason
 }
 
-func newTestCore(f Fleet) *testCore {
-	c := &testCore{Core: NewCore(rand.New(rand.NewSource(1))), now: start}
+func newTestCore(f Topology) *testCore {
+	c := &testCore{Dispatcher: NewDispatcher(rand.New(rand.NewSource(1))), now: start}
 	c.sent, c.shed = make(map[uint64]string), make(map[uint64]ShedReason)
-	c.take(c.Update(c.now, f))
+	c.take(c.UpdateTopology(c.now, f))
 	return c
 }
 
@@ -41,13 +41,13 @@
 
 func (c *testCore) submit(organisation string, timeout time.Duration) uint64 {
 	c.next++
-	c.take(c.Submit(c.now, Ticket{ID: c.next, Organisation: organisation, QueueUntil: c.now.Add(timeout), Deadline: c.now.Add(timeout)}))
+	c.take(c.Submit(c.now, Ticket{ID: c.next, Organisation: organisation, QueueDeadline: c.now.Add(timeout), Deadline: c.now.Add(timeout)}))
 	return c.next
 }
 
-func (c *testCore) finish(id uint64, r Result) {
+func (c *testCore) finish(id uint64, r AttemptResult) {
 	delete(c.sent, id)
-	c.take(c.Finish(c.now, Report{Ticket: id, Result: r}))
+	c.take(c.FinishAttempt(c.now, AttemptReport{Ticket: id, Result: r}))
 }
 
 // on counts the requests in flight at an upstream.
@@ -61,9 +61,9 @@
 	return n
 }
 
-func fleetOf(hosts ...kvstore.Host) Fleet {
+func fleetOf(hosts ...kvstore.Host) Topology {
 	self := kvstore.Host{Name: "e1", FailureDomain: "a"}
-	return Fleet{Self: self, EntryHosts: []kvstore.Host{self}, Upstreams: hosts, Out: map[string]bool{}}
+	return Topology{Self: self, EntryHosts: []kvstore.Host{self}, Upstreams: hosts, OutOfService: map[string]bool{}}
 }
 
 func up(name, domain string, slots int) kvstore.Host {
@@ -96,9 +96,9 @@
 	must.Eq(t, 2, c.on("near"))
 	c.submit("x", time.Minute)
 	must.Eq(t, 1, c.on("far"))
-	f.Out = map[string]bool{"a": true}
-	c.finish(1, Answered)
-	c.take(c.Update(c.now, f))
+	f.OutOfService = map[string]bool{"a": true}
+	c.finish(1, Responded)
+	c.take(c.UpdateTopology(c.now, f))
 	c.submit("x", time.Minute)
 	must.Eq(t, 2, c.on("far"))
 	waits := c.submit("x", time.Minute)
@@ -117,7 +117,7 @@
 	}
 	must.Eq(t, 4, c.on("u"))
 	f.EntryHosts = one
-	c.take(c.Update(c.now, f))
+	c.take(c.UpdateTopology(c.now, f))
 	must.Eq(t, 4, c.on("u"))
 	c.now = c.now.Add(growDelay)
 	c.take(c.Tick(c.now))
@@ -159,7 +159,7 @@
 		for id, u := range c.sent {
 			if u == "fast" {
 				c.now = c.now.Add(10 * time.Millisecond)
-				c.finish(id, Answered)
+				c.finish(id, Responded)
 				break
 			}
 		}
@@ -192,15 +192,15 @@
 func TestRetriesAreBounded(t *testing.T) {
 	c := newTestCore(fleetOf(up("u", "a", 1)))
 	retries := 0
-	for c.Retry() {
+	for c.AllowRetry() {
 		retries++
 	}
 	must.Eq(t, retryTokens, retries)
 	for range 100 {
-		c.finish(c.submit("x", time.Minute), Answered)
+		c.finish(c.submit("x", time.Minute), Responded)
 	}
 	retries = 0
-	for c.Retry() {
+	for c.AllowRetry() {
 		retries++
 	}
 	must.Between(t, 19, retries, 20)
@@ -212,15 +212,15 @@
 	c.finish(c.submit("x", time.Minute), Failed)
 	c.submit("x", time.Minute)
 	must.Eq(t, 1, c.on("good"))
-	must.SliceEmpty(t, c.Probes(c.now))
+	must.SliceEmpty(t, c.StartProbes(c.now))
 	c.now = c.now.Add(firstBackoff)
-	must.Len(t, 1, c.Probes(c.now))
-	must.SliceEmpty(t, c.Probes(c.now))
-	c.take(c.Probed(c.now, "bad", true, false))
+	must.Len(t, 1, c.StartProbes(c.now))
+	must.SliceEmpty(t, c.StartProbes(c.now))
+	c.take(c.FinishProbe(c.now, "bad", true, false))
 	trial := c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
 	must.Eq(t, 1, c.on("bad"))
-	c.finish(trial, Answered)
+	c.finish(trial, Responded)
 	c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
 	must.Greater(t, 1, c.on("bad"))
@@ -234,8 +234,8 @@
 		waits := c.submit("x", time.Minute)
 		must.Eq(t, "", c.sent[waits])
 		c.now = c.now.Add(probeInterval)
-		must.Len(t, 1, c.Probes(c.now))
-		c.take(c.Probed(c.now, "u", alive, false))
+		must.Len(t, 1, c.StartProbes(c.now))
+		c.take(c.FinishProbe(c.now, "u", alive, false))
 	}
 	must.Eq(t, 1, c.on("u"))
 }
@@ -251,7 +251,7 @@
 			c.submit(fmt.Sprint("organisation-", random.Intn(3)), 50*time.Millisecond)
 			for id := range uint64(500) {
 				if _, sent := c.sent[id]; sent && random.Intn(3) == 0 {
-					c.finish(id, Answered)
+					c.finish(id, Responded)
 					break
 				}
 			}
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -45,10 +45,10 @@
 	now := r.opts.Now()
 	wait := c.deadline.Sub(now) / queueShare
 	return Ticket{
-		ID:           r.sequence.Add(1),
-		Organisation: c.organisation,
-		QueueUntil:   now.Add(wait),
-		Deadline:     c.deadline,
+		ID:            r.sequence.Add(1),
+		Organisation:  c.organisation,
+		QueueDeadline: now.Add(wait),
+		Deadline:      c.deadline,
 	}
 }
 
@@ -60,7 +60,7 @@
 	var avoid []string
 	for n := 1; ; n++ {
 		t := r.ticket(c)
-		t.Avoid, t.Retry = avoid, n > 1
+		t.AvoidUpstreams, t.Retry = avoid, n > 1
 		g, err := s.acquire(ctx, r.opts.Now, t)
 		if err != nil {
 			return failed(outcome, apierr.New(apierr.Unavailable, "the caller went away", ""))
@@ -105,14 +105,14 @@
 	return failed(outcome, err)
 }
 
-func (r *Router) endAttempt(s *service, x *exchange, rep Report) {
+func (r *Router) endAttempt(s *service, x *exchange, rep AttemptReport) {
 	x.done(x.err == nil && x.answer != nil && x.answer.rest == nil)
 	s.finish(r.opts.Now(), rep)
 }
 
 // answered returns a result whose slot is freed at once when the answer is
 // already here, or after it has been passed on.
-func (r *Router) answered(s *service, x *exchange, rep Report) result {
+func (r *Router) answered(s *service, x *exchange, rep AttemptReport) result {
 	res := result{outcome: Ran, answer: x.answer, finish: func(bool) {}}
 	if x.answer.rest == nil {
 		x.done(true)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -122,7 +122,7 @@
 	must.NoError(t, err)
 	req.Header.Set("Organisation", organisation)
 	if key != "" {
-		req.Header.Set(routing.HeaderKey, key)
+		req.Header.Set(routing.HeaderIdempotencyKey, key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	must.NoError(t, err)
--- a/routing/keyed.go
+++ b/routing/keyed.go
@@ -72,7 +72,7 @@
 	if len(key) <= claims.MaxKeyBytes {
 		return nil
 	}
-	return apierr.Invalid(HeaderKey, "the key is longer than "+strconv.Itoa(claims.MaxKeyBytes)+" bytes", "use a shorter key")
+	return apierr.Invalid(HeaderIdempotencyKey, "the key is longer than "+strconv.Itoa(claims.MaxKeyBytes)+" bytes", "use a shorter key")
 }
 
 // claim asks for the key, waiting while another attempt runs.
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -19,11 +19,11 @@
 	// HeaderOutcome carries an Outcome. An upstream sets it to "not-run" on a 503
 	// to state that it did not execute the request.
 	HeaderOutcome = "Cyclamentray-Outcome"
-	// HeaderRequest names a request to an upstream. An upstream that copies it
+	// HeaderRequestID names a request to an upstream. An upstream that copies it
 	// into its answer keeps its connections; others get one a request.
-	HeaderRequest = "Cyclamentray-Request"
+	HeaderRequestID = "Cyclamentray-Request"
 	// HeaderReason is set by an upstream beside a not-run 503: "leaving" or "full".
 	HeaderReason = "Cyclamentray-Reason"
-	// HeaderKey carries the caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey carries the caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
--- a/routing/policy_bench_test.go
+++ b/routing/policy_bench_test.go
@@ -83,10 +83,10 @@
 	rng      *rand.Rand
 	runners  []*simRunner
 	byName   map[string]*simRunner
-	cores    []*Core // empty: round robin
-	turn     []int   // of each entry host, for round robin
-	out      bool    // round robin knows that domain d0 is out
-	fleet    Fleet
+	cores    []*Dispatcher // empty: round robin
+	turn     []int         // of each entry host, for round robin
+	out      bool          // round robin knows that domain d0 is out
+	fleet    Topology
 	requests map[uint64]*simRequest
 	next     uint64
 
@@ -116,7 +116,7 @@
 	}
 	if core {
 		for i := range benchEntryHosts {
-			s.cores = append(s.cores, NewCore(rand.New(rand.NewSource(seed+int64(i)))))
+			s.cores = append(s.cores, NewDispatcher(rand.New(rand.NewSource(seed+int64(i)))))
 		}
 	}
 	s.update(false)
@@ -128,8 +128,8 @@
 	s.out = out
 	for i, c := range s.cores {
 		f := s.fleet
-		f.Self, f.Out = f.EntryHosts[i], map[string]bool{"d0": out}
-		s.apply(i, c.Update(s.now, f))
+		f.Self, f.OutOfService = f.EntryHosts[i], map[string]bool{"d0": out}
+		s.apply(i, c.UpdateTopology(s.now, f))
 	}
 }
 
@@ -162,8 +162,8 @@
 	for i := range s.cores {
 		var tick func()
 		tick = func() {
-			for _, h := range s.cores[i].Probes(s.now) {
-				s.apply(i, s.cores[i].Probed(s.now, h.Name, !s.byName[h.Name].lost, false))
+			for _, h := range s.cores[i].StartProbes(s.now) {
+				s.apply(i, s.cores[i].FinishProbe(s.now, h.Name, !s.byName[h.Name].lost, false))
 			}
 			s.apply(i, s.cores[i].Tick(s.now))
 			s.after(20*time.Millisecond, tick)
@@ -194,7 +194,7 @@
 		s.sendTo(q, s.roundRobin(q.host), func(bool) {})
 		return
 	}
-	t := Ticket{ID: q.id, Organisation: fmt.Sprint("o", q.org), QueueUntil: s.now.Add(q.deadline.Sub(s.now) / queueShare), Deadline: q.deadline, Retry: q.attempts > 0}
+	t := Ticket{ID: q.id, Organisation: fmt.Sprint("o", q.org), QueueDeadline: s.now.Add(q.deadline.Sub(s.now) / queueShare), Deadline: q.deadline, Retry: q.attempts > 0}
 	s.apply(q.host, s.cores[q.host].Submit(s.now, t))
 }
 
@@ -216,12 +216,12 @@
 		q := s.requests[x.Ticket]
 		r := s.byName[x.Upstream.Name]
 		s.sendTo(q, r, func(whole bool) {
-			rep := Report{Ticket: q.id, Result: Answered}
+			rep := AttemptReport{Ticket: q.id, Result: Responded}
 			if !whole {
 				rep.Result = Failed
 			}
-			s.apply(host, s.cores[host].Finish(s.now, rep))
-			if !whole && q.attempts < maxAttempts && s.cores[host].Retry() {
+			s.apply(host, s.cores[host].FinishAttempt(s.now, rep))
+			if !whole && q.attempts < maxAttempts && s.cores[host].AllowRetry() {
 				s.requests[q.id] = q
 				s.submit(q)
 			}
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -8,12 +8,12 @@
 
 // Ticket is a request that waits for, or uses, an upstream's slot.
 type Ticket struct {
-	ID           uint64
-	Organisation string
-	QueueUntil   time.Time // sheds the request when it still waits then
-	Deadline     time.Time // end of the request
-	Avoid        []string  // upstreams on which an earlier attempt failed
-	Retry        bool      // a later attempt: it goes before first attempts
+	ID             uint64
+	Organisation   string
+	QueueDeadline  time.Time // sheds the request when it still waits then
+	Deadline       time.Time // end of the request
+	AvoidUpstreams []string  // upstreams on which an earlier attempt failed
+	Retry          bool      // a later attempt: it goes before first attempts
 }
 
 // line is one organisation's queue and its use of slots.
@@ -151,7 +151,7 @@
 	var out []*Ticket
 	for _, l := range q.lines {
 		l.waiting = slices.DeleteFunc(l.waiting, func(t *Ticket) bool {
-			late := !now.Before(t.QueueUntil)
+			late := !now.Before(t.QueueDeadline)
 			if late {
 				out = append(out, t)
 			}
--- a/routing/router.go
+++ b/routing/router.go
@@ -160,7 +160,7 @@
 		return 0
 	}
 	view := r.opts.Membership.View()
-	f := Fleet{EntryHosts: entryHosts(view), Silent: view.Silent}
+	f := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
 	return Share(host.Connections, host.Name, view.Self.Name, f.sharers(host))
 }
 
--- a/routing/service.go
+++ b/routing/service.go
@@ -22,7 +22,7 @@
 	name string
 
 	mu       sync.Mutex
-	core     *Core
+	core     *Dispatcher
 	waiters  map[uint64]chan grant
 	view     *membership.View
 	snapshot *config.Snapshot
@@ -31,7 +31,7 @@
 func newService(name string, seed int64) *service {
 	return &service{
 		name:    name,
-		core:    NewCore(rand.New(rand.NewSource(seed))),
+		core:    NewDispatcher(rand.New(rand.NewSource(seed))),
 		waiters: make(map[uint64]chan grant),
 	}
 }
@@ -44,19 +44,19 @@
 		return
 	}
 	s.view, s.snapshot = view, snap
-	s.apply(s.core.Update(now, newFleet(s.name, view, snap)))
+	s.apply(s.core.UpdateTopology(now, newFleet(s.name, view, snap)))
 }
 
-func newFleet(name string, view *membership.View, snap *config.Snapshot) Fleet {
-	f := Fleet{
-		Self:       view.Self,
-		EntryHosts: entryHosts(view),
-		Silent:     view.Silent,
-		Upstreams:  view.Upstreams(name),
-		Out:        make(map[string]bool),
+func newFleet(name string, view *membership.View, snap *config.Snapshot) Topology {
+	f := Topology{
+		Self:         view.Self,
+		EntryHosts:   entryHosts(view),
+		Silent:       view.Silent,
+		Upstreams:    view.Upstreams(name),
+		OutOfService: make(map[string]bool),
 	}
 	for _, d := range snap.FailureDomains {
-		f.Out[d.Name] = d.Out
+		f.OutOfService[d.Name] = d.Out
 	}
 	return f
 }
@@ -95,27 +95,27 @@
 		return grant{}, ctx.Err()
 	}
 	if g := <-ch; g.shed == "" {
-		s.apply(s.core.Finish(now(), Report{Ticket: t.ID, Result: Unused}))
+		s.apply(s.core.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
 	}
 	return grant{}, ctx.Err()
 }
 
-func (s *service) finish(now time.Time, rep Report) {
+func (s *service) finish(now time.Time, rep AttemptReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.core.Finish(now, rep))
+	s.apply(s.core.FinishAttempt(now, rep))
 }
 
 func (s *service) retry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Retry()
+	return s.core.AllowRetry()
 }
 
 func (s *service) waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Waiting()
+	return s.core.QueueLength()
 }
 
 // tick gives the core the time and returns the upstreams to probe.
@@ -123,13 +123,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(s.core.Tick(now))
-	return s.core.Probes(now)
+	return s.core.StartProbes(now)
 }
 
 func (s *service) probed(now time.Time, upstream string, alive, closing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.core.Probed(now, upstream, alive, closing))
+	s.apply(s.core.FinishProbe(now, upstream, alive, closing))
 }
 
 // apply hands decisions to the waiting requests. The caller holds mu.
--- a/routing/share.go
+++ b/routing/share.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"slices"
+	CapacityShare "slices"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -12,11 +12,11 @@
 // the limit. The remainder rotates by the upstream's name, so that it is
 // spread over the hosts.
 func Share(limit int, upstream, self string, hosts []string) int {
-	sorted := slices.Clone(hosts)
-	slices.Sort(sorted)
-	sorted = slices.Compact(sorted)
+	sorted := CapacityShare.Clone(hosts)
+	CapacityShare.Sort(sorted)
+	sorted = CapacityShare.Compact(sorted)
 	n := len(sorted)
-	rank, found := slices.BinarySearch(sorted, self)
+	rank, found := CapacityShare.BinarySearch(sorted, self)
 	if !found || n == 0 {
 		return 0
 	}
