--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -20,113 +20,113 @@
 const (
 	tracerName = "cyclamentray/routing"
 
-	// bufferedBytes is the largest answer that is read whole before the caller
+	// maxBufferedBytes is the largest answer that is read whole before the caller
 	// gets its first byte. Larger ones are passed on as they arrive, and the
 	// caller's connection is aborted when they do not arrive whole.
-	bufferedBytes = 256 << 10
+	maxBufferedBytes = 256 << 10
 )
 
-var errUnframed = errors.New("routing: the answer has no length, so a cut could not be told from its end; have the upstream send Content-Length or chunks")
+var errNoBodyLength = errors.New("routing: the answer has no length, so a cut could not be told from its end; have the upstream send Content-Length or chunks")
 
-var errCrossed = errors.New("routing: the answer names another request; the connection was closed")
+var errWrongRequestID = errors.New("routing: the answer names another request; the connection was closed")
 
-// requestNumber makes the names of requests unique on every connection of this process.
-var requestNumber atomic.Uint64
+// lastRequestID makes the names of requests unique on every connection of this process.
+var lastRequestID atomic.Uint64
 
-// answer is an upstream's answer. When rest is nil, body is the whole of it.
-type answer struct {
-	status  int
-	header  http.Header
-	length  int64 // bytes of the body; -1: sent in chunks
-	body    []byte
-	rest    io.Reader
-	closing bool // the upstream said Connection: close
+// response is an upstream's response. When rest is nil, body is the whole of it.
+type response struct {
+	status          int
+	header          http.Header
+	length          int64 // bytes of the body; -1: sent in chunks
+	body            []byte
+	rest            io.Reader
+	connectionClose bool // the upstream said Connection: close
 }
 
 // refusal returns the reason when the upstream states that it did not execute
 // the request, and whether it does.
-func (a *answer) refusal() (string, bool) {
+func (a *response) refusal() (string, bool) {
 	stated := a.status == http.StatusServiceUnavailable && a.header.Get(HeaderOutcome) == string(NotRun)
 	return a.header.Get(HeaderReason), stated
 }
 
 // exchange is one attempt at one upstream.
 type exchange struct {
-	pool   *pool
-	conn   *conn
-	sent   bool // a byte of the request may have reached the upstream
-	echoed bool // the answer named the request, so it can't be another's
-	answer *answer
-	err    error
+	pool     *pool
+	conn     *conn
+	sent     bool // a byte of the request may have reached the upstream
+	idEchoed bool // the answer named the request, so it can't be another's
+	response *response
+	err      error
 }
 
-// attempt sends a call to one upstream and reads its answer. It never sends
+// sendOnce sends a call to one upstream and reads its answer. It never sends
 // twice: not even when a kept connection turns out to be closed. The exchange
 // must be ended with done.
-func (r *Router) attempt(ctx context.Context, c *call, d Dispatch) *exchange {
+func (r *Router) sendOnce(ctx context.Context, c *call, d Dispatch) *exchange {
 	ctx, span := otel.Tracer(tracerName).Start(ctx, "routing.attempt")
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Upstream.Name))
-	x := &exchange{pool: r.pool(d.Upstream)}
+	x := &exchange{pool: r.poolFor(d.Upstream)}
 	limit := c.deadline
 	if patience := r.opts.Now().Add(d.AttemptTimeout); c.idempotent && patience.Before(limit) {
 		limit = patience
 	}
-	req, err := c.request(ctx, d.Upstream.Address)
+	req, err := c.upstreamRequest(ctx, d.Upstream.Address)
 	if err != nil {
 		x.err = err
 		return x
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
-	x.err = x.run(ctx, req, r.connectionAge(c), r.connectionLimit(d.Upstream), limit)
+	x.err = x.roundTrip(ctx, req, r.maxConnectionAge(c), r.connectionLimit(d.Upstream), limit)
 	if x.err != nil {
 		span.RecordError(x.err)
 	}
 	return x
 }
 
-// connectionAge is the longest time since a connection's last whole answer. A
+// maxConnectionAge is the longest time since a connection's last whole answer. A
 // request that must not be sent twice goes only on a connection just proved
 // alive, or on a fresh one.
-func (r *Router) connectionAge(c *call) time.Duration {
+func (r *Router) maxConnectionAge(c *call) time.Duration {
 	if c.idempotent {
 		return maxIdleAge
 	}
-	return provedAlive
+	return freshConnectionAge
 }
 
-func (x *exchange) run(ctx context.Context, req *http.Request, age time.Duration, connections int, limit time.Time) error {
+func (x *exchange) roundTrip(ctx context.Context, req *http.Request, age time.Duration, connections int, limit time.Time) error {
 	if err := x.connect(ctx, req.URL.Host, age, connections, limit); err != nil {
 		return err
 	}
-	id := strconv.FormatUint(requestNumber.Add(1), 36)
+	id := strconv.FormatUint(lastRequestID.Add(1), 36)
 	req.Header.Set(HeaderRequestID, id)
 	resp, err := x.conn.roundTrip(req, limit)
 	x.sent = x.conn.sent
 	if err != nil {
 		return err
 	}
-	if err := x.checkEcho(resp, id); err != nil {
+	if err := x.checkRequestID(resp, id); err != nil {
 		return err
 	}
-	return x.read(resp)
+	return x.readResponse(resp)
 }
 
-// checkEcho compares the request that the answer names with the one just sent.
+// checkRequestID compares the request that the answer names with the one just sent.
 // An upstream that names none gets a fresh connection for each request: on a
 // reused one, a late second answer to an earlier request looks like this one's.
-func (x *exchange) checkEcho(resp *http.Response, id string) error {
+func (x *exchange) checkRequestID(resp *http.Response, id string) error {
 	named := resp.Header.Get(HeaderRequestID)
 	resp.Header.Del(HeaderRequestID)
-	x.echoed = named == id
-	if named != "" && !x.echoed {
-		return errCrossed
+	x.idEchoed = named == id
+	if named != "" && !x.idEchoed {
+		return errWrongRequestID
 	}
 	return nil
 }
 
 func (x *exchange) connect(ctx context.Context, address string, age time.Duration, connections int, limit time.Time) error {
-	x.conn = x.pool.take(time.Now(), age)
+	x.conn = x.pool.takeIdle(time.Now(), age)
 	if x.conn != nil {
 		return nil
 	}
@@ -142,60 +142,60 @@
 	return nil
 }
 
-// read takes the answer whole, or its first part when it is large.
-func (x *exchange) read(resp *http.Response) error {
+// readResponse takes the answer whole, or its first part when it is large.
+func (x *exchange) readResponse(resp *http.Response) error {
 	framed := resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked")
 	if !framed && resp.Request.Method != http.MethodHead {
-		return errUnframed
+		return errNoBodyLength
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, bufferedBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
 		return err
 	}
-	a := &answer{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, body: body, closing: resp.Close}
-	if len(body) == bufferedBytes {
+	a := &response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, body: body, connectionClose: resp.Close}
+	if len(body) == maxBufferedBytes {
 		a.rest = resp.Body
 	}
-	x.answer = a
+	x.response = a
 	return nil
 }
 
-// done keeps the connection for reuse when its answer was read to the end and
+// release keeps the connection for reuse when its answer was read to the end and
 // nothing else came, and closes it otherwise.
-func (x *exchange) done(whole bool) {
+func (x *exchange) release(whole bool) {
 	c := x.conn
 	if c == nil {
 		return
 	}
 	x.conn = nil
-	if !whole || !x.echoed || x.err != nil || c.broken || x.answer.closing || c.reader.Buffered() > 0 {
+	if !whole || !x.idEchoed || x.err != nil || c.notReusable || x.response.connectionClose || c.reader.Buffered() > 0 {
 		x.pool.discard(c)
 		return
 	}
-	c.answer = time.Now()
-	x.pool.put(c)
+	c.lastResponse = time.Now()
+	x.pool.putIdle(c)
 }
 
-// result classifies the attempt for the choice of runners.
-func (x *exchange) result() AttemptReport {
-	if x.answer == nil {
+// report classifies the attempt for the choice of runners.
+func (x *exchange) report() AttemptReport {
+	if x.response == nil {
 		return AttemptReport{Result: Failed}
 	}
-	rep := AttemptReport{Result: Responded, ConnectionClose: x.answer.closing}
-	reason, refused := x.answer.refusal()
+	rep := AttemptReport{Result: Responded, ConnectionClose: x.response.connectionClose}
+	reason, refused := x.response.refusal()
 	switch {
 	case refused && reason == "full":
 		rep.Result, rep.ConnectionClose = Full, false
 	case refused:
 		rep.Result = Leaving
-	case x.answer.status >= http.StatusInternalServerError:
+	case x.response.status >= http.StatusInternalServerError:
 		rep.Result = ServerError
 	}
 	return rep
 }
 
-// probe tells whether an upstream answers HTTP at all, on a fresh connection.
-func (r *Router) probe(ctx context.Context, host kvstore.Host) (alive, closing bool) {
+// probeUpstream tells whether an upstream answers HTTP at all, on a fresh connection.
+func (r *Router) probeUpstream(ctx context.Context, host kvstore.Host) (alive, closing bool) {
 	limit := time.Now().Add(dialTimeout)
 	c, err := dial(ctx, host.Address)
 	if err != nil {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -31,7 +31,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func post(b *testing.B, method, url, key string) routing.Outcome {
+func sendRequest(b *testing.B, method, url, key string) routing.Outcome {
 	req, err := http.NewRequest(method, url, strings.NewReader("kit"))
 	must.NoError(b, err)
 	req.Header.Set("Organisation", "acme")
@@ -51,14 +51,14 @@
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, method := range []string{"GET", "POST"} {
 		b.Run(method, func(b *testing.B) {
-			host, _, _ := runnerHost(b, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
-			e := startEntry(b, newShared(time.Minute, host), nil)
+			host, _, _ := startProxiedUpstream(b, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
+			e := startEntryHost(b, newFakeSource(time.Minute, host), nil)
 			direct, via := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
 			var cpu [2]time.Duration
 			for b.Loop() {
 				for i, target := range []string{"http://" + host.Address + "/book", e.url + "/v1/services/loans/requests/book"} {
 					used, began := cpuTime(b), time.Now()
-					post(b, method, target, "")
+					sendRequest(b, method, target, "")
 					took := time.Since(began).Microseconds()
 					cpu[i] += cpuTime(b) - used
 					_ = []*hdrhistogram.Histogram{direct, via}[i].RecordValue(took)
@@ -80,11 +80,11 @@
 		callers = 64
 		length  = 5 * time.Second
 	)
-	hosts := runnerHosts(b, 4)
+	hosts := startUpstreams(b, 4)
 	store := kv.New()
-	entries := startKeyed(b, store, 3, claims.DefaultCommitInterval, hosts...)
-	post(b, "POST", entries[0].url+"/v1/services/loans/requests/book", "warm-up")
-	before := total(store.Calls())
+	entries := startKeyedEntryHosts(b, store, 3, claims.DefaultCommitInterval, hosts...)
+	sendRequest(b, "POST", entries[0].url+"/v1/services/loans/requests/book", "warm-up")
+	before := sumCalls(store.Calls())
 	latency := hdrhistogram.New(1, 1e9, 3)
 	var ran atomic.Int64
 	var mu sync.Mutex
@@ -96,7 +96,7 @@
 				for n := 0; time.Now().Before(end); n++ {
 					began := time.Now()
 					url := entries[(c+n)%len(entries)].url + "/v1/services/loans/requests/book"
-					if post(b, "POST", url, fmt.Sprintf("k-%d-%d", c, n)) == routing.Ran {
+					if sendRequest(b, "POST", url, fmt.Sprintf("k-%d-%d", c, n)) == routing.Ran {
 						ran.Add(1)
 					}
 					mu.Lock()
@@ -109,7 +109,7 @@
 	}
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	b.ReportMetric(float64(total(store.Calls())-before)/float64(ran.Load())*1000, "calls/1000")
+	b.ReportMetric(float64(sumCalls(store.Calls())-before)/float64(ran.Load())*1000, "calls/1000")
 	b.ReportMetric(float64(ran.Load())/b.Elapsed().Seconds(), "requests/s")
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "p99-ms")
@@ -119,9 +119,9 @@
 // BenchmarkIdle gives what an entry host with 50 upstreams spends on routing
 // while no request comes.
 func BenchmarkIdle(b *testing.B) {
-	e := startEntry(b, newShared(time.Minute, runnerHosts(b, 50)...), nil)
+	e := startEntryHost(b, newFakeSource(time.Minute, startUpstreams(b, 50)...), nil)
 	for range 50 {
-		post(b, "GET", e.url+"/v1/services/loans/requests/book", "")
+		sendRequest(b, "GET", e.url+"/v1/services/loans/requests/book", "")
 	}
 	for b.Loop() {
 		before := cpuTime(b)
@@ -130,7 +130,7 @@
 	}
 }
 
-func total(calls map[string]int) int {
+func sumCalls(calls map[string]int) int {
 	n := 0
 	for _, c := range calls {
 		n += c
@@ -161,7 +161,7 @@
 		capacity += slots * speed / base.Seconds()
 		hosts = append(hosts, kvstore.Host{Name: name, Kind: kvstore.Upstream, FailureDomain: "a", Service: "loans", Address: server.Listener.Addr().String(), Slots: slots, Connections: 60})
 	}
-	entries := startKeyed(b, kv.New(), 3, claims.DefaultCommitInterval, hosts...)
+	entries := startKeyedEntryHosts(b, kv.New(), 3, claims.DefaultCommitInterval, hosts...)
 	organisations := []string{"acme", "north", "south", "west"}
 	var ran [4]atomic.Int64
 	var unknown atomic.Int64
@@ -175,7 +175,7 @@
 					org = 0
 				}
 				for time.Now().Before(end) {
-					outcome := entries[c%3].do(b, "POST", organisations[org], "").outcome
+					outcome := entries[c%3].send(b, "POST", organisations[org], "").outcome
 					now := time.Now()
 					if now.Before(from) || now.After(end) {
 						continue
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,8 +1,8 @@
 package routing
 
 const (
-	retryRatio  = 0.2 // tokens earned by each first attempt
-	retryTokens = 50  // most tokens kept
+	tokensPerFirstAttempt = 0.2 // tokens earned by each first attempt
+	maxRetryTokens        = 50  // most tokens kept
 )
 
 // retryBudget bounds retries to a share of first attempts, so that a failing
@@ -11,9 +11,9 @@
 	tokens float64
 }
 
-func newRetryBudget() retryBudget { return retryBudget{tokens: retryTokens} }
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
 
-func (b *retryBudget) earn() { b.tokens = min(retryTokens, b.tokens+retryRatio) }
+func (b *retryBudget) earn() { b.tokens = min(maxRetryTokens, b.tokens+tokensPerFirstAttempt) }
 
 // spend takes a token for one retry; it reports false when there is none.
 func (b *retryBudget) spend() bool {
--- a/routing/call.go
+++ b/routing/call.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxBodyBytes   = 1 << 20
-	maxHeldBytes   = 48 << 20 // of the bodies of all requests at once
-	defaultTimeout = 30 * time.Second
+	maxBodyBytes          = 1 << 20
+	maxTotalBodyBytes     = 48 << 20 // of the bodies of all requests at once
+	defaultRequestTimeout = 30 * time.Second
 
 	// headerOrganisation tells an upstream whose request it is.
 	headerOrganisation = "Cyclamentray-Organisation"
@@ -29,34 +29,34 @@
 // safeMethods are idempotent when the service's document names none.
 var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders belong to one connection and are not passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
 // call is a caller's request, read whole so that a slow caller holds no slot.
 type call struct {
-	organisation string
-	service      config.Service
-	method       string
-	target       string // path and query at the upstream
-	header       http.Header
-	body         []byte
-	deadline     time.Time
-	idempotent   bool
-	key          string // empty: none
+	organisation   string
+	service        config.Service
+	method         string
+	target         string // path and query at the upstream
+	header         http.Header
+	body           []byte
+	deadline       time.Time
+	idempotent     bool
+	idempotencyKey string // empty: none
 }
 
-// hold reserves memory for a request's body; it returns the number of bytes to
+// reserveBody reserves memory for a request's body; it returns the number of bytes to
 // give back. ok is false when too much is held already.
-func (r *Router) hold(req *http.Request) (n int64, ok bool) {
+func (r *Router) reserveBody(req *http.Request) (n int64, ok bool) {
 	n = req.ContentLength
 	if n < 0 || n > maxBodyBytes {
 		n = maxBodyBytes
 	}
-	if r.held.Add(n) > maxHeldBytes {
-		r.held.Add(-n)
+	if r.bodyBytes.Add(n) > maxTotalBodyBytes {
+		r.bodyBytes.Add(-n)
 		return 0, false
 	}
 	return n, true
@@ -73,31 +73,31 @@
 	}
 	timeout := s.Requests.Timeout()
 	if timeout <= 0 {
-		timeout = defaultTimeout
+		timeout = defaultRequestTimeout
 	}
 	c := &call{
-		organisation: organisation,
-		service:      s,
-		method:       req.Method,
-		target:       target(req),
-		header:       forwardHeader(req.Header, organisation),
-		body:         body,
-		deadline:     now.Add(timeout),
-		idempotent:   idempotent(req.Method, s.Requests),
-		key:          req.Header.Get(HeaderIdempotencyKey),
+		organisation:   organisation,
+		service:        s,
+		method:         req.Method,
+		target:         upstreamTarget(req),
+		header:         forwardHeader(req.Header, organisation),
+		body:           body,
+		deadline:       now.Add(timeout),
+		idempotent:     isIdempotent(req.Method, s.Requests),
+		idempotencyKey: req.Header.Get(HeaderIdempotencyKey),
 	}
 	return c, nil
 }
 
-func idempotent(method string, r *config.Requests) bool {
+func isIdempotent(method string, r *config.Requests) bool {
 	if len(r.IdempotentMethods) == 0 {
 		return slices.Contains(safeMethods, method)
 	}
 	return slices.Contains(r.IdempotentMethods, method)
 }
 
-// target returns what follows /v1/services/{service}/requests, still escaped.
-func target(req *http.Request) string {
+// upstreamTarget returns what follows /v1/services/{service}/requests, still escaped.
+func upstreamTarget(req *http.Request) string {
 	const segmentsBefore = 5 // "", v1, services, {service}, requests
 	parts := strings.SplitN(req.URL.EscapedPath(), "/", segmentsBefore+1)
 	path := "/" + parts[len(parts)-1]
@@ -110,22 +110,22 @@
 // forwardHeader copies a caller's header without what concerns only the hop,
 // the caller's token, and the headers that entry hosts alone set.
 func forwardHeader(in http.Header, organisation string) http.Header {
-	out := endToEnd(in)
+	out := endToEndHeader(in)
 	out.Del("Authorization")
 	out.Del("Expect")
 	out.Set(headerOrganisation, organisation)
 	return out
 }
 
-// endToEnd copies a header without hop-by-hop and cyclamentray's own fields.
-func endToEnd(in http.Header) http.Header {
+// endToEndHeader copies a header without hop-by-hop and cyclamentray's own fields.
+func endToEndHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, list := range in["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	for name := range out {
@@ -144,8 +144,8 @@
 	return h.Sum64()
 }
 
-// request builds the message to one upstream.
-func (c *call) request(ctx context.Context, address string) (*http.Request, error) {
+// upstreamRequest builds the message to one upstream.
+func (c *call) upstreamRequest(ctx context.Context, address string) (*http.Request, error) {
 	out, err := http.NewRequestWithContext(ctx, c.method, "http://"+address+c.target, bytes.NewReader(c.body))
 	if err != nil {
 		return nil, err
--- a/routing/conn.go
+++ b/routing/conn.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	dialTimeout       = time.Second
-	progressTimeout   = 5 * time.Second // without a byte once an answer has begun, or while sending
-	keepAliveIdle     = 5 * time.Second
-	keepAliveInterval = 2 * time.Second
-	keepAliveCount    = 3
-	maxIdleAge        = 10 * time.Second       // an idle connection older than this is closed
-	provedAlive       = 100 * time.Millisecond // age up to which a whole answer proves a connection alive
-	earlyAnswerWait   = 500 * time.Millisecond
-	maxInformational  = 8 // 1xx answers before the final one
+	dialTimeout          = time.Second
+	progressTimeout      = 5 * time.Second // without a byte once an answer has begun, or while sending
+	keepAliveIdle        = 5 * time.Second
+	keepAliveInterval    = 2 * time.Second
+	keepAliveCount       = 3
+	maxIdleAge           = 10 * time.Second       // an idle connection older than this is closed
+	freshConnectionAge   = 100 * time.Millisecond // age up to which a whole answer proves a connection alive
+	earlyResponseTimeout = 500 * time.Millisecond
+	maxInformational     = 8 // 1xx answers before the final one
 )
 
-// errSilent means that an upstream made no progress in time.
-var errSilent = errors.New("routing: upstream made no progress in time; the connection was closed")
+// errNoProgress means that an upstream made no progress in time.
+var errNoProgress = errors.New("routing: upstream made no progress in time; the connection was closed")
 
 // conn is one connection to an upstream. It carries one request at a time, so
 // that an answer can only belong to the request just sent. One goroutine uses
 // it at a time.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	sent    bool      // a byte of the present request may have left
-	limit   time.Time // end of the present attempt
-	started bool      // a byte of the present answer has arrived
-	answer  time.Time // when the last whole answer ended
-	broken  bool      // not to be used again
+	reader          *bufio.Reader
+	sent            bool      // a byte of the present request may have left
+	attemptDeadline time.Time // end of the present attempt
+	responseStarted bool      // a byte of the present answer has arrived
+	lastResponse    time.Time // when the last whole answer ended
+	notReusable     bool      // not to be used again
 }
 
 func dial(ctx context.Context, address string) (*conn, error) {
@@ -65,7 +65,7 @@
 
 // Write sends bytes of a request and notes that some may have left.
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(c.progressLimit()); err != nil {
+	if err := c.SetWriteDeadline(c.progressDeadline()); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
@@ -76,28 +76,28 @@
 }
 
 func (c *conn) read(p []byte) (int, error) {
-	limit := c.limit
-	if c.started {
-		limit = c.progressLimit()
+	limit := c.attemptDeadline
+	if c.responseStarted {
+		limit = c.progressDeadline()
 	}
 	if err := c.SetReadDeadline(limit); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.started = true
+		c.responseStarted = true
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		err = errors.Mark(err, errSilent)
+		err = errors.Mark(err, errNoProgress)
 	}
 	return n, err
 }
 
-func (c *conn) progressLimit() time.Time {
+func (c *conn) progressDeadline() time.Time {
 	next := time.Now().Add(progressTimeout)
-	if c.limit.Before(next) {
-		return c.limit
+	if c.attemptDeadline.Before(next) {
+		return c.attemptDeadline
 	}
 	return next
 }
@@ -105,11 +105,11 @@
 // roundTrip sends req and reads the head of its final answer. The answer's
 // body must be read to its end before the connection is used again.
 func (c *conn) roundTrip(req *http.Request, limit time.Time) (*http.Response, error) {
-	c.sent, c.started, c.limit = false, false, limit
+	c.sent, c.responseStarted, c.attemptDeadline = false, false, limit
 	if err := c.send(req); err != nil {
-		return c.earlyAnswer(req, err)
+		return c.readEarlyResponse(req, err)
 	}
-	return c.readHead(req)
+	return c.readResponseHead(req)
 }
 
 func (c *conn) send(req *http.Request) error {
@@ -120,24 +120,24 @@
 	return out.Flush()
 }
 
-// earlyAnswer reads the answer of an upstream that stopped reading the request.
-func (c *conn) earlyAnswer(req *http.Request, sendErr error) (*http.Response, error) {
-	c.broken = true
+// readEarlyResponse reads the answer of an upstream that stopped reading the request.
+func (c *conn) readEarlyResponse(req *http.Request, sendErr error) (*http.Response, error) {
+	c.notReusable = true
 	if !c.sent {
 		return nil, sendErr
 	}
-	early := time.Now().Add(earlyAnswerWait)
-	if early.Before(c.limit) {
-		c.limit = early
+	early := time.Now().Add(earlyResponseTimeout)
+	if early.Before(c.attemptDeadline) {
+		c.attemptDeadline = early
 	}
-	resp, err := c.readHead(req)
+	resp, err := c.readResponseHead(req)
 	if err != nil {
 		return nil, sendErr
 	}
 	return resp, nil
 }
 
-func (c *conn) readHead(req *http.Request) (*http.Response, error) {
+func (c *conn) readResponseHead(req *http.Request) (*http.Response, error) {
 	for range maxInformational {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
@@ -153,9 +153,9 @@
 	return nil, errors.New("routing: upstream sent too many interim answers")
 }
 
-// quiet reports whether nothing has arrived, not even the end of the stream,
+// openAndSilent reports whether nothing has arrived, not even the end of the stream,
 // since the last answer.
-func (c *conn) quiet() bool {
+func (c *conn) openAndSilent() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -187,27 +187,27 @@
 	open int     // connections idle or in use
 }
 
-// take returns an idle connection on which nothing has arrived and that
+// takeIdle returns an idle connection on which nothing has arrived and that
 // answered within age, or nil. It closes those that are no longer fit.
-func (p *pool) take(now time.Time, age time.Duration) *conn {
+func (p *pool) takeIdle(now time.Time, age time.Duration) *conn {
 	for {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
-		since := now.Sub(c.answer)
-		if since <= maxIdleAge && c.quiet() {
+		since := now.Sub(c.lastResponse)
+		if since <= maxIdleAge && c.openAndSilent() {
 			if since <= age {
 				return c
 			}
-			p.put(c)
+			p.putIdle(c)
 			return nil
 		}
 		p.discard(c)
 	}
 }
 
-func (p *pool) pop() *conn {
+func (p *pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) == 0 {
@@ -231,7 +231,7 @@
 	p.open++
 }
 
-func (p *pool) put(c *conn) {
+func (p *pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = append(p.idle, c)
@@ -246,14 +246,14 @@
 	p.open--
 }
 
-// trim closes idle connections that are too old; it returns how many
+// closeExpired closes idle connections that are too old; it returns how many
 // connections are left, those in use included.
-func (p *pool) trim(now time.Time) int {
+func (p *pool) closeExpired(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Sub(c.answer) <= maxIdleAge {
+		if now.Sub(c.lastResponse) <= maxIdleAge {
 			kept = append(kept, c)
 			continue
 		}
--- a/routing/core.go
+++ b/routing/core.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	queuePerSlot    = 4    // waiting tickets for each slot of this host
-	minQueue        = 32   // waiting tickets that are always allowed
-	maxWork         = 20   // typical requests that one is charged at most
-	minLatency      = 1e-5 // seconds; keeps rates finite
-	shedMemory      = time.Second
-	patienceFactor  = 10 // times the expected latency before an idempotent attempt is given up
-	minimumPatience = time.Second
+	queueLimitPerSlot    = 4    // waiting tickets for each slot of this host
+	minQueueLimit        = 32   // waiting tickets that are always allowed
+	maxWorkCharge        = 20   // typical requests that one is charged at most
+	minLatencySeconds    = 1e-5 // seconds; keeps rates finite
+	overloadWindow       = time.Second
+	attemptTimeoutFactor = 10 // times the expected latency before an idempotent attempt is given up
+	minAttemptTimeout    = time.Second
 )
 
 // Topology is what membership and configuration say about one service.
@@ -78,20 +78,20 @@
 }
 
 type attempt struct {
-	ticket *Ticket
-	runner *runner
+	ticket   *Ticket
+	upstream *upstreamState
 }
 
 // Dispatcher decides for one service on one entry host which request goes to which
 // runner. It is pure: time and randomness are passed in. It is not safe for
 // concurrent use.
 type Dispatcher struct {
-	rng      *rand.Rand
-	fleet    fleet
-	queue    fairQueue
-	budget   retryBudget
-	attempts map[uint64]attempt
-	lastShed time.Time
+	rng       *rand.Rand
+	upstreams upstreamSet
+	queue     fairQueue
+	budget    retryBudget
+	attempts  map[uint64]attempt
+	lastShed  time.Time
 }
 
 // NewDispatcher returns a core without runners.
@@ -101,28 +101,28 @@
 
 // UpdateTopology takes a new membership or configuration into account.
 func (c *Dispatcher) UpdateTopology(now time.Time, f Topology) Decisions {
-	next := make([]*runner, 0, len(f.Upstreams))
+	next := make([]*upstreamState, 0, len(f.Upstreams))
 	for _, host := range f.Upstreams {
-		r := c.fleet.find(host.Name)
+		r := c.upstreams.find(host.Name)
 		known := r != nil && r.host.Address == host.Address
 		if !known {
-			r = &runner{started: make(map[uint64]time.Time)}
+			r = &upstreamState{inFlight: make(map[uint64]time.Time)}
 		}
 		r.host = host
 		r.local = host.FailureDomain == f.Self.FailureDomain
-		r.out = f.OutOfService[host.FailureDomain]
+		r.outOfService = f.OutOfService[host.FailureDomain]
 		r.setShare(now, slotShare(host, f), known)
 		next = append(next, r)
 	}
-	slices.SortFunc(next, func(a, b *runner) int { return compare(a.host.Name, b.host.Name) })
-	c.fleet.runners = next
-	return c.pump(now, Decisions{})
+	slices.SortFunc(next, func(a, b *upstreamState) int { return compareNames(a.host.Name, b.host.Name) })
+	c.upstreams.states = next
+	return c.dispatchWaiting(now, Decisions{})
 }
 
-// sharers returns the names of the entry hosts that share an upstream. One that
+// sharingHosts returns the names of the entry hosts that share an upstream. One that
 // is silent is left out, unless it stands in the upstream's failure domain: cut
 // off from here, it may well be using the upstream.
-func (f Topology) sharers(upstream kvstore.Host) []string {
+func (f Topology) sharingHosts(upstream kvstore.Host) []string {
 	var names []string
 	for _, h := range f.EntryHosts {
 		if !f.Silent[h.Name] || h.FailureDomain == upstream.FailureDomain {
@@ -135,7 +135,7 @@
 // slotShare bounds the slots also by the connections, of which each request
 // in flight uses one.
 func slotShare(host kvstore.Host, f Topology) int {
-	names := f.sharers(host)
+	names := f.sharingHosts(host)
 	share := Share(host.Slots, host.Name, f.Self.Name, names)
 	if host.Connections > 0 {
 		share = min(share, Share(host.Connections, host.Name, f.Self.Name, names))
@@ -152,11 +152,11 @@
 	if c.queue.length == 0 {
 		return "", true
 	}
-	rate := c.fleet.rate(now, c.fleet.best())
+	rate := c.upstreams.completionsPerSecond(now, c.upstreams.lowestLatencySeconds())
 	if rate == 0 {
 		return "", true
 	}
-	ahead := float64(len(c.queue.line(t.Organisation).waiting)+1) * float64(max(1, c.queue.busyLines()))
+	ahead := float64(len(c.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, c.queue.activeQueues()))
 	wait := time.Duration(ahead / rate * float64(time.Second))
 	if now.Add(wait).After(t.QueueDeadline) {
 		return TooLate, false
@@ -165,7 +165,7 @@
 }
 
 func (c *Dispatcher) anyUsable() bool {
-	return slices.ContainsFunc(c.fleet.runners, (*runner).usable)
+	return slices.ContainsFunc(c.upstreams.states, (*upstreamState).usable)
 }
 
 // Submit takes a request: it is sent, waits, or is shed.
@@ -178,21 +178,21 @@
 		c.budget.earn()
 	}
 	c.queue.push(&t)
-	d = c.pump(now, d)
+	d = c.dispatchWaiting(now, d)
 	for c.queue.length > c.queueLimit() {
-		d = c.shed(now, d, c.queue.dropFromLongest().ID, QueueFull)
+		d = c.shed(now, d, c.queue.dropNewestOfLongest().ID, QueueFull)
 	}
 	return d
 }
 
 func (c *Dispatcher) queueLimit() int {
 	slots := 0
-	for _, r := range c.fleet.runners {
+	for _, r := range c.upstreams.states {
 		if r.usable() {
 			slots += r.share
 		}
 	}
-	return max(minQueue, queuePerSlot*slots)
+	return max(minQueueLimit, queueLimitPerSlot*slots)
 }
 
 // AllowRetry reports whether the retry budget allows one more attempt.
@@ -208,41 +208,41 @@
 		return Decisions{}
 	}
 	delete(c.attempts, rep.Ticket)
-	c.queue.release(a.ticket.Organisation, work(now, a.runner, rep))
-	c.observe(now, a.runner, rep)
-	delete(a.runner.started, rep.Ticket)
-	return c.pump(now, Decisions{})
+	c.queue.releaseSlot(a.ticket.Organisation, chargedWork(now, a.upstream, rep))
+	c.recordResult(now, a.upstream, rep)
+	delete(a.upstream.inFlight, rep.Ticket)
+	return c.dispatchWaiting(now, Decisions{})
 }
 
-// work returns what a request took, in typical requests of its runner, so that
+// chargedWork returns what a request took, in typical requests of its runner, so that
 // the runner's speed does not count.
-func work(now time.Time, r *runner, rep AttemptReport) float64 {
+func chargedWork(now time.Time, r *upstreamState, rep AttemptReport) float64 {
 	if rep.Result != Responded || r.samples == 0 {
 		return 1
 	}
-	took := now.Sub(r.started[rep.Ticket]).Seconds()
-	return min(maxWork, took/max(r.latency, minLatency))
+	took := now.Sub(r.inFlight[rep.Ticket]).Seconds()
+	return min(maxWorkCharge, took/max(r.latencySeconds, minLatencySeconds))
 }
 
-func (c *Dispatcher) observe(now time.Time, r *runner, rep AttemptReport) {
-	latency := now.Sub(r.started[rep.Ticket])
+func (c *Dispatcher) recordResult(now time.Time, r *upstreamState, rep AttemptReport) {
+	latency := now.Sub(r.inFlight[rep.Ticket])
 	switch rep.Result {
 	case Responded:
-		r.succeed(now, latency)
+		r.recordSuccess(now, latency)
 	case ServerError:
-		r.badAnswers++
-		if r.badAnswers >= answerFailures {
-			r.fail(now, c.rng.Float64())
+		r.consecutiveServerErrors++
+		if r.consecutiveServerErrors >= serverErrorLimit {
+			r.recordFailure(now, c.rng.Float64())
 		}
 	case Failed:
-		r.fail(now, c.rng.Float64())
+		r.recordFailure(now, c.rng.Float64())
 	case Leaving:
-		r.leave(now)
+		r.markLeaving(now)
 	case Full:
-		r.hold(now.Add(fullHold))
+		r.blockUntil(now.Add(fullBackoff))
 	}
 	if rep.ConnectionClose {
-		r.leave(now)
+		r.markLeaving(now)
 	}
 }
 
@@ -250,9 +250,9 @@
 // must be followed by Probed.
 func (c *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
-	for _, r := range c.fleet.runners {
-		if r.wantsProbe(now) {
-			r.probing = true
+	for _, r := range c.upstreams.states {
+		if r.probeDue(now) {
+			r.probeInFlight = true
 			out = append(out, r.host)
 		}
 	}
@@ -262,48 +262,48 @@
 // FinishProbe takes a probe's end into account: whether the upstream answered, and
 // whether it said Connection: close.
 func (c *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
-	if r := c.fleet.find(upstream); r != nil {
-		r.probed(now, alive, closing, c.rng.Float64())
+	if r := c.upstreams.find(upstream); r != nil {
+		r.recordProbe(now, alive, closing, c.rng.Float64())
 	}
-	return c.pump(now, Decisions{})
+	return c.dispatchWaiting(now, Decisions{})
 }
 
 // Tick sheds what has waited too long and uses slots that became free by time.
-func (c *Dispatcher) Tick(now time.Time) Decisions { return c.pump(now, Decisions{}) }
+func (c *Dispatcher) Tick(now time.Time) Decisions { return c.dispatchWaiting(now, Decisions{}) }
 
 // QueueLength returns the number of waiting requests.
 func (c *Dispatcher) QueueLength() int { return c.queue.length }
 
-// pump sends waiting tickets to free runners.
-func (c *Dispatcher) pump(now time.Time, d Decisions) Decisions {
-	for _, t := range c.queue.expired(now) {
+// dispatchWaiting sends waiting tickets to free runners.
+func (c *Dispatcher) dispatchWaiting(now time.Time, d Decisions) Decisions {
+	for _, t := range c.queue.removeExpired(now) {
 		d = c.shed(now, d, t.ID, TooLate)
 	}
-	for _, r := range c.fleet.runners {
-		r.grow(now)
+	for _, r := range c.upstreams.states {
+		r.applyPendingShare(now)
 	}
 	for {
-		l := c.queue.next()
+		l := c.queue.nextQueue()
 		if l == nil {
 			return d
 		}
 		if !c.anyUsable() {
-			d = c.shed(now, d, c.queue.dropFromLongest().ID, NoUpstream)
+			d = c.shed(now, d, c.queue.dropNewestOfLongest().ID, NoUpstream)
 			continue
 		}
-		r := c.choose(now, l.waiting[0])
+		r := c.chooseUpstream(now, l.waiting[0])
 		if r == nil {
 			return d
 		}
-		d.Dispatches = append(d.Dispatches, c.send(now, c.queue.pop(l), r))
+		d.Dispatches = append(d.Dispatches, c.dispatch(now, c.queue.pop(l), r))
 	}
 }
 
-func (c *Dispatcher) send(now time.Time, t *Ticket, r *runner) Dispatch {
-	r.started[t.ID] = now
-	c.attempts[t.ID] = attempt{ticket: t, runner: r}
-	patience := time.Duration(patienceFactor * r.latency * float64(time.Second))
-	return Dispatch{Ticket: t.ID, Upstream: r.host, AttemptTimeout: max(patience, minimumPatience)}
+func (c *Dispatcher) dispatch(now time.Time, t *Ticket, r *upstreamState) Dispatch {
+	r.inFlight[t.ID] = now
+	c.attempts[t.ID] = attempt{ticket: t, upstream: r}
+	patience := time.Duration(attemptTimeoutFactor * r.latencySeconds * float64(time.Second))
+	return Dispatch{Ticket: t.ID, Upstream: r.host, AttemptTimeout: max(patience, minAttemptTimeout)}
 }
 
 func (c *Dispatcher) shed(now time.Time, d Decisions, id uint64, reason ShedReason) Decisions {
@@ -314,31 +314,31 @@
 	return d
 }
 
-// choose returns the runner for a ticket: the free one with the smallest cost,
+// chooseUpstream returns the runner for a ticket: the free one with the smallest cost,
 // unless waiting for a faster one that is busy is expected to end sooner. It
 // returns nil when the ticket is to wait.
-func (c *Dispatcher) choose(now time.Time, t *Ticket) *runner {
-	best := c.fleet.best()
-	chosen := c.cheapest(now, best, t.AvoidUpstreams)
+func (c *Dispatcher) chooseUpstream(now time.Time, t *Ticket) *upstreamState {
+	best := c.upstreams.lowestLatencySeconds()
+	chosen := c.cheapestAvailable(now, best, t.AvoidUpstreams)
 	if chosen == nil && len(t.AvoidUpstreams) > 0 {
-		chosen = c.cheapest(now, best, nil)
+		chosen = c.cheapestAvailable(now, best, nil)
 	}
 	if chosen == nil {
 		return nil
 	}
-	overloaded := now.Sub(c.lastShed) < shedMemory && !c.lastShed.IsZero()
-	if !overloaded && c.waitingIsFaster(now, best, chosen.duration(now, best)) {
+	overloaded := now.Sub(c.lastShed) < overloadWindow && !c.lastShed.IsZero()
+	if !overloaded && c.waitingIsFaster(now, best, chosen.expectedSeconds(now, best)) {
 		return nil
 	}
 	return chosen
 }
 
-func (c *Dispatcher) cheapest(now time.Time, best float64, avoid []string) *runner {
-	var chosen *runner
+func (c *Dispatcher) cheapestAvailable(now time.Time, best float64, avoid []string) *upstreamState {
+	var chosen *upstreamState
 	lowest := math.Inf(1)
 	ties := 0
-	for _, r := range c.fleet.runners {
-		if !r.free(now) || slices.Contains(avoid, r.host.Name) {
+	for _, r := range c.upstreams.states {
+		if !r.available(now) || slices.Contains(avoid, r.host.Name) {
 			continue
 		}
 		cost := r.cost(now, best)
@@ -360,16 +360,16 @@
 // so the longer the queue, the slower a runner is still worth using.
 func (c *Dispatcher) waitingIsFaster(now time.Time, best, duration float64) bool {
 	rate, sum, busy := 0.0, 0.0, 0
-	for _, r := range c.fleet.runners {
-		n := len(r.started)
-		if n == 0 || r.samples == 0 || !r.usable() || now.Before(r.heldUntil) {
+	for _, r := range c.upstreams.states {
+		n := len(r.inFlight)
+		if n == 0 || r.samples == 0 || !r.usable() || now.Before(r.blockedUntil) {
 			continue
 		}
-		other := r.duration(now, best)
+		other := r.expectedSeconds(now, best)
 		if other >= duration {
 			continue
 		}
-		rate += float64(n) / max(other, minLatency)
+		rate += float64(n) / max(other, minLatencySeconds)
 		sum += other * float64(n)
 		busy += n
 	}
--- a/routing/core_test.go
+++ b/routing/core_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testCore drives a core and answers its dispatches by hand.
-type testCore struct {
+// testDispatcher drives a core and answers its dispatches by hand.
+type testDispatcher struct {
 	*Dispatcher
 	now  time.Time
 	next uint64
@@ -23,14 +23,14 @@
 	shed map[uint64]ShedReason
 }
 
-func newTestCore(f Topology) *testCore {
-	c := &testCore{Dispatcher: NewDispatcher(rand.New(rand.NewSource(1))), now: start}
+func newTestDispatcher(f Topology) *testDispatcher {
+	c := &testDispatcher{Dispatcher: NewDispatcher(rand.New(rand.NewSource(1))), now: start}
 	c.sent, c.shed = make(map[uint64]string), make(map[uint64]ShedReason)
-	c.take(c.UpdateTopology(c.now, f))
+	c.record(c.UpdateTopology(c.now, f))
 	return c
 }
 
-func (c *testCore) take(d Decisions) {
+func (c *testDispatcher) record(d Decisions) {
 	for _, x := range d.Dispatches {
 		c.sent[x.Ticket] = x.Upstream.Name
 	}
@@ -39,19 +39,19 @@
 	}
 }
 
-func (c *testCore) submit(organisation string, timeout time.Duration) uint64 {
+func (c *testDispatcher) submit(organisation string, timeout time.Duration) uint64 {
 	c.next++
-	c.take(c.Submit(c.now, Ticket{ID: c.next, Organisation: organisation, QueueDeadline: c.now.Add(timeout), Deadline: c.now.Add(timeout)}))
+	c.record(c.Submit(c.now, Ticket{ID: c.next, Organisation: organisation, QueueDeadline: c.now.Add(timeout), Deadline: c.now.Add(timeout)}))
 	return c.next
 }
 
-func (c *testCore) finish(id uint64, r AttemptResult) {
+func (c *testDispatcher) finish(id uint64, r AttemptResult) {
 	delete(c.sent, id)
-	c.take(c.FinishAttempt(c.now, AttemptReport{Ticket: id, Result: r}))
+	c.record(c.FinishAttempt(c.now, AttemptReport{Ticket: id, Result: r}))
 }
 
-// on counts the requests in flight at an upstream.
-func (c *testCore) on(upstream string) int {
+// inFlightAt counts the requests in flight at an upstream.
+func (c *testDispatcher) inFlightAt(upstream string) int {
 	n := 0
 	for _, u := range c.sent {
 		if u == upstream {
@@ -61,16 +61,16 @@
 	return n
 }
 
-func fleetOf(hosts ...kvstore.Host) Topology {
+func topologyOf(hosts ...kvstore.Host) Topology {
 	self := kvstore.Host{Name: "e1", FailureDomain: "a"}
 	return Topology{Self: self, EntryHosts: []kvstore.Host{self}, Upstreams: hosts, OutOfService: map[string]bool{}}
 }
 
-func up(name, domain string, slots int) kvstore.Host {
+func upstreamHost(name, domain string, slots int) kvstore.Host {
 	return kvstore.Host{Name: name, FailureDomain: domain, Slots: slots, Address: name}
 }
 
-func TestSharesAddUpToTheLimit(t *testing.T) {
+func TestCapacitySharesAddUpToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 80).Draw(t, "limit")
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
@@ -88,72 +88,72 @@
 	})
 }
 
-func TestLocalFailureDomainFirstThenSpill(t *testing.T) {
-	f := fleetOf(up("far", "b", 2), up("near", "a", 2))
-	c := newTestCore(f)
+func TestPrefersLocalFailureDomainThenSpillsOver(t *testing.T) {
+	f := topologyOf(upstreamHost("far", "b", 2), upstreamHost("near", "a", 2))
+	c := newTestDispatcher(f)
 	c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
-	must.Eq(t, 2, c.on("near"))
+	must.Eq(t, 2, c.inFlightAt("near"))
 	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.on("far"))
+	must.Eq(t, 1, c.inFlightAt("far"))
 	f.OutOfService = map[string]bool{"a": true}
 	c.finish(1, Responded)
-	c.take(c.UpdateTopology(c.now, f))
+	c.record(c.UpdateTopology(c.now, f))
 	c.submit("x", time.Minute)
-	must.Eq(t, 2, c.on("far"))
+	must.Eq(t, 2, c.inFlightAt("far"))
 	waits := c.submit("x", time.Minute)
 	must.Eq(t, "", c.sent[waits])
 }
 
 // A share shrinks at once when an entry host joins and grows only after a
 // delay when one goes, as its requests may still be running.
-func TestShareGrowsLate(t *testing.T) {
-	f := fleetOf(up("u", "a", 8))
+func TestShareGrowsOnlyAfterDelay(t *testing.T) {
+	f := topologyOf(upstreamHost("u", "a", 8))
 	one := f.EntryHosts
 	f.EntryHosts = append(one, kvstore.Host{Name: "e2", FailureDomain: "a"})
-	c := newTestCore(f)
+	c := newTestDispatcher(f)
 	for range 8 {
 		c.submit("x", time.Minute)
 	}
-	must.Eq(t, 4, c.on("u"))
+	must.Eq(t, 4, c.inFlightAt("u"))
 	f.EntryHosts = one
-	c.take(c.UpdateTopology(c.now, f))
-	must.Eq(t, 4, c.on("u"))
-	c.now = c.now.Add(growDelay)
-	c.take(c.Tick(c.now))
-	must.Eq(t, 8, c.on("u"))
+	c.record(c.UpdateTopology(c.now, f))
+	must.Eq(t, 4, c.inFlightAt("u"))
+	c.now = c.now.Add(shareGrowthDelay)
+	c.record(c.Tick(c.now))
+	must.Eq(t, 8, c.inFlightAt("u"))
 }
 
 // Requests wait for a busy fast runner rather than go to one that is ten times
 // slower, but a long queue uses that too.
-func TestSlowRunnerIsUsedOnlyWhenItPays(t *testing.T) {
-	c := newTestCore(fleetOf(up("fast", "a", 4), up("slow", "a", 4)))
-	c.fleet.find("fast").succeed(c.now, 10*time.Millisecond)
-	c.fleet.find("slow").succeed(c.now, 100*time.Millisecond)
+func TestSlowUpstreamIsUsedOnlyForLongQueue(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 4), upstreamHost("slow", "a", 4)))
+	c.upstreams.find("fast").recordSuccess(c.now, 10*time.Millisecond)
+	c.upstreams.find("slow").recordSuccess(c.now, 100*time.Millisecond)
 	for range 8 {
 		c.submit("x", time.Minute)
 	}
-	must.Eq(t, 4, c.on("fast"))
-	must.Eq(t, 0, c.on("slow"))
+	must.Eq(t, 4, c.inFlightAt("fast"))
+	must.Eq(t, 0, c.inFlightAt("slow"))
 	for range 30 {
 		c.submit("x", time.Minute)
 	}
-	must.Positive(t, c.on("slow"))
+	must.Positive(t, c.inFlightAt("slow"))
 }
 
 // The organisation whose requests happen to be on the fast runner must not keep
 // it: its slot is given to each in turn, and a newcomer is served at once.
 func TestOrganisationsShareWorkEqually(t *testing.T) {
-	c := newTestCore(fleetOf(up("fast", "a", 1), up("slow", "a", 1)))
-	c.fleet.find("fast").succeed(c.now, 10*time.Millisecond)
-	c.fleet.find("slow").succeed(c.now, 15*time.Millisecond)
+	c := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 1), upstreamHost("slow", "a", 1)))
+	c.upstreams.find("fast").recordSuccess(c.now, 10*time.Millisecond)
+	c.upstreams.find("slow").recordSuccess(c.now, 15*time.Millisecond)
 	for range 15 {
 		c.submit("first", time.Minute)
 	}
 	for range 15 {
 		c.submit("second", time.Minute)
 	}
-	waiting := func(organisation string) int { return len(c.queue.line(organisation).waiting) }
+	waiting := func(organisation string) int { return len(c.queue.queueOf(organisation).waiting) }
 	first, second := waiting("first"), waiting("second")
 	for range 20 {
 		for id, u := range c.sent {
@@ -168,9 +168,9 @@
 	must.Between(t, 9, second-waiting("second"), 11)
 }
 
-func TestFullQueueShedsTheLongestLine(t *testing.T) {
-	c := newTestCore(fleetOf(up("u", "a", 1)))
-	for range minQueue + 1 {
+func TestFullQueueShedsFromLongestOrganisationQueue(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
+	for range minQueueLimit + 1 {
 		c.submit("large", time.Hour)
 	}
 	must.MapEmpty(t, c.shed)
@@ -179,9 +179,9 @@
 	must.MapNotContainsKey(t, c.shed, small)
 }
 
-func TestHopelessRequestIsShedEarly(t *testing.T) {
-	c := newTestCore(fleetOf(up("u", "a", 1)))
-	c.fleet.find("u").succeed(c.now, time.Second)
+func TestRequestThatCannotStartInTimeIsShedOnSubmit(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
+	c.upstreams.find("u").recordSuccess(c.now, time.Second)
 	c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
 	late := c.submit("x", 500*time.Millisecond)
@@ -189,13 +189,13 @@
 	must.Eq(t, 1, c.queue.length)
 }
 
-func TestRetriesAreBounded(t *testing.T) {
-	c := newTestCore(fleetOf(up("u", "a", 1)))
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
 	retries := 0
 	for c.AllowRetry() {
 		retries++
 	}
-	must.Eq(t, retryTokens, retries)
+	must.Eq(t, maxRetryTokens, retries)
 	for range 100 {
 		c.finish(c.submit("x", time.Minute), Responded)
 	}
@@ -207,44 +207,44 @@
 }
 
 // A runner that fails gets no request before a probe, and one at a time then.
-func TestFailedRunnerComesBackByProbe(t *testing.T) {
-	c := newTestCore(fleetOf(up("bad", "a", 4), up("good", "b", 4)))
+func TestFailedUpstreamRecoversThroughProbe(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("bad", "a", 4), upstreamHost("good", "b", 4)))
 	c.finish(c.submit("x", time.Minute), Failed)
 	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.on("good"))
+	must.Eq(t, 1, c.inFlightAt("good"))
 	must.SliceEmpty(t, c.StartProbes(c.now))
 	c.now = c.now.Add(firstBackoff)
 	must.Len(t, 1, c.StartProbes(c.now))
 	must.SliceEmpty(t, c.StartProbes(c.now))
-	c.take(c.FinishProbe(c.now, "bad", true, false))
+	c.record(c.FinishProbe(c.now, "bad", true, false))
 	trial := c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.on("bad"))
+	must.Eq(t, 1, c.inFlightAt("bad"))
 	c.finish(trial, Responded)
 	c.submit("x", time.Minute)
 	c.submit("x", time.Minute)
-	must.Greater(t, 1, c.on("bad"))
+	must.Greater(t, 1, c.inFlightAt("bad"))
 }
 
 // A runner that says that it leaves is taken back once it was gone meanwhile.
-func TestLeavingRunnerComesBackAfterARestart(t *testing.T) {
-	c := newTestCore(fleetOf(up("u", "a", 4)))
+func TestLeavingUpstreamIsUsedAgainAfterRestart(t *testing.T) {
+	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 4)))
 	c.finish(c.submit("x", time.Minute), Leaving)
 	for _, alive := range []bool{true, false, true} {
 		waits := c.submit("x", time.Minute)
 		must.Eq(t, "", c.sent[waits])
 		c.now = c.now.Add(probeInterval)
 		must.Len(t, 1, c.StartProbes(c.now))
-		c.take(c.FinishProbe(c.now, "u", alive, false))
+		c.record(c.FinishProbe(c.now, "u", alive, false))
 	}
-	must.Eq(t, 1, c.on("u"))
+	must.Eq(t, 1, c.inFlightAt("u"))
 }
 
 // The core reads no clock and no order of maps: the same messages at the same
 // times, with the same random source, give the same decisions.
-func TestSameMessagesGiveTheSameDecisions(t *testing.T) {
+func TestDecisionsAreDeterministic(t *testing.T) {
 	play := func() (map[uint64]string, map[uint64]ShedReason) {
-		c := newTestCore(fleetOf(up("u1", "a", 2), up("u2", "a", 2), up("u3", "b", 2)))
+		c := newTestDispatcher(topologyOf(upstreamHost("u1", "a", 2), upstreamHost("u2", "a", 2), upstreamHost("u3", "b", 2)))
 		random := rand.New(rand.NewSource(7))
 		for range 500 {
 			c.now = c.now.Add(time.Duration(random.Intn(20)) * time.Millisecond)
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	maxAttempts = 3
-	queueShare  = 2 // a request waits at most 1/queueShare of its timeout
+	maxAttempts         = 3
+	queueTimeoutDivisor = 2 // a request waits at most 1/queueShare of its timeout
 )
 
-// result is what a call came to. When answer is set, its exchange is still
+// callResult is what a call came to. When answer is set, its exchange is still
 // open, and finish must be called once the answer has been passed on.
-type result struct {
-	outcome Outcome
-	answer  *answer
-	err     *apierr.Error
-	finish  func(whole bool)
+type callResult struct {
+	outcome  Outcome
+	response *response
+	err      *apierr.Error
+	finish   func(whole bool)
 }
 
-func failed(outcome Outcome, err *apierr.Error) result {
-	return result{outcome: outcome, err: err, finish: func(bool) {}}
+func failedResult(outcome Outcome, err *apierr.Error) callResult {
+	return callResult{outcome: outcome, err: err, finish: func(bool) {}}
 }
 
 func errShed(reason ShedReason) *apierr.Error {
@@ -37,15 +37,15 @@
 		"look up what it did before sending it again, or use an idempotency key")
 }
 
-func errLost() *apierr.Error {
+func errUnreachable() *apierr.Error {
 	return apierr.New(apierr.Unavailable, "no upstream could be reached; the request was not run", "retry after a pause")
 }
 
-func (r *Router) ticket(c *call) Ticket {
+func (r *Router) newTicket(c *call) Ticket {
 	now := r.opts.Now()
-	wait := c.deadline.Sub(now) / queueShare
+	wait := c.deadline.Sub(now) / queueTimeoutDivisor
 	return Ticket{
-		ID:            r.sequence.Add(1),
+		ID:            r.lastTicketID.Add(1),
 		Organisation:  c.organisation,
 		QueueDeadline: now.Add(wait),
 		Deadline:      c.deadline,
@@ -55,76 +55,76 @@
 // execute sends a call until it has a whole answer or must not be sent again.
 // A call that is not idempotent is sent again only while no byte of it has
 // left or the upstream said that it did not run it.
-func (r *Router) execute(ctx context.Context, s *service, c *call) result {
+func (r *Router) execute(ctx context.Context, s *serviceDispatcher, c *call) callResult {
 	outcome := NotRun
 	var avoid []string
 	for n := 1; ; n++ {
-		t := r.ticket(c)
+		t := r.newTicket(c)
 		t.AvoidUpstreams, t.Retry = avoid, n > 1
-		g, err := s.acquire(ctx, r.opts.Now, t)
+		g, err := s.acquireSlot(ctx, r.opts.Now, t)
 		if err != nil {
-			return failed(outcome, apierr.New(apierr.Unavailable, "the caller went away", ""))
+			return failedResult(outcome, apierr.New(apierr.Unavailable, "the caller went away", ""))
 		}
-		if g.shed != "" {
-			return r.giveUp(outcome, errShed(g.shed))
+		if g.shedReason != "" {
+			return r.resultWithoutResponse(outcome, errShed(g.shedReason))
 		}
-		x := r.attempt(ctx, c, g.dispatch)
-		rep := x.result()
+		x := r.sendOnce(ctx, c, g.dispatch)
+		rep := x.report()
 		rep.Ticket = t.ID
 		_, refused := refusalOf(x)
-		if x.answer != nil && !refused {
-			return r.answered(s, x, rep)
+		if x.response != nil && !refused {
+			return r.resultWithResponse(s, x, rep)
 		}
-		r.endAttempt(s, x, rep)
+		r.endFailedAttempt(s, x, rep)
 		if x.sent && !refused {
 			outcome = Unknown
 		}
 		if outcome == Unknown && !c.idempotent {
-			return failed(Unknown, errUnknown())
+			return failedResult(Unknown, errUnknown())
 		}
-		if n == maxAttempts || !r.opts.Now().Before(c.deadline) || !s.retry() {
-			return r.giveUp(outcome, errLost())
+		if n == maxAttempts || !r.opts.Now().Before(c.deadline) || !s.allowRetry() {
+			return r.resultWithoutResponse(outcome, errUnreachable())
 		}
-		r.meters.retries.Inc()
+		r.metrics.retries.Inc()
 		avoid = append(avoid, g.dispatch.Upstream.Name)
 	}
 }
 
 func refusalOf(x *exchange) (string, bool) {
-	if x.answer == nil {
+	if x.response == nil {
 		return "", false
 	}
-	return x.answer.refusal()
+	return x.response.refusal()
 }
 
-// giveUp answers with err only when nothing was sent.
-func (r *Router) giveUp(outcome Outcome, err *apierr.Error) result {
+// resultWithoutResponse answers with err only when nothing was sent.
+func (r *Router) resultWithoutResponse(outcome Outcome, err *apierr.Error) callResult {
 	if outcome == Unknown {
 		err = errUnknown()
 	}
-	return failed(outcome, err)
+	return failedResult(outcome, err)
 }
 
-func (r *Router) endAttempt(s *service, x *exchange, rep AttemptReport) {
-	x.done(x.err == nil && x.answer != nil && x.answer.rest == nil)
-	s.finish(r.opts.Now(), rep)
+func (r *Router) endFailedAttempt(s *serviceDispatcher, x *exchange, rep AttemptReport) {
+	x.release(x.err == nil && x.response != nil && x.response.rest == nil)
+	s.finishAttempt(r.opts.Now(), rep)
 }
 
-// answered returns a result whose slot is freed at once when the answer is
+// resultWithResponse returns a result whose slot is freed at once when the answer is
 // already here, or after it has been passed on.
-func (r *Router) answered(s *service, x *exchange, rep AttemptReport) result {
-	res := result{outcome: Ran, answer: x.answer, finish: func(bool) {}}
-	if x.answer.rest == nil {
-		x.done(true)
-		s.finish(r.opts.Now(), rep)
+func (r *Router) resultWithResponse(s *serviceDispatcher, x *exchange, rep AttemptReport) callResult {
+	res := callResult{outcome: Ran, response: x.response, finish: func(bool) {}}
+	if x.response.rest == nil {
+		x.release(true)
+		s.finishAttempt(r.opts.Now(), rep)
 		return res
 	}
 	res.finish = func(whole bool) {
-		x.done(whole)
+		x.release(whole)
 		if !whole {
 			rep.Result = Failed
 		}
-		s.finish(r.opts.Now(), rep)
+		s.finishAttempt(r.opts.Now(), rep)
 	}
 	return res
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -27,35 +27,35 @@
 
 const testTimeout = 20 * time.Second
 
-// shared is a membership and configuration that tests change at will.
-type shared struct {
+// fakeSource is a membership and configuration that tests change at will.
+type fakeSource struct {
 	mu      sync.Mutex
 	view    *membership.View
 	snap    *config.Snapshot
 	changed chan struct{}
 }
 
-func (s *shared) View() *membership.View {
+func (s *fakeSource) View() *membership.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-func (s *shared) Current() (*config.Snapshot, time.Time) {
+func (s *fakeSource) Current() (*config.Snapshot, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snap, time.Now()
 }
 
-func (s *shared) Changed() <-chan struct{} { return s.changed }
+func (s *fakeSource) Changed() <-chan struct{} { return s.changed }
 
-func (s *shared) setHosts(hosts ...kvstore.Host) {
+func (s *fakeSource) setHosts(hosts ...kvstore.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view = &membership.View{Self: s.view.Self, Hosts: hosts}
 }
 
-func (s *shared) setOut(name string, out bool) {
+func (s *fakeSource) setOut(name string, out bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := *s.snap
@@ -63,26 +63,26 @@
 	s.snap = &next
 }
 
-// entry is one entry host's router behind a real listener.
-type entry struct {
-	shared *shared
+// entryHost is one entryHost host's router behind a real listener.
+type entryHost struct {
+	source *fakeSource
 	router *routing.Router
 	server *httptest.Server
 	url    string
 }
 
-func newShared(timeout time.Duration, hosts ...kvstore.Host) *shared {
+func newFakeSource(timeout time.Duration, hosts ...kvstore.Host) *fakeSource {
 	service := config.Service{Name: "loans", Organisation: "acme", Requests: &config.Requests{
 		TimeoutMillis: int(timeout.Milliseconds()), ShareWith: []string{"north", "south", "west"},
 	}}
-	return &shared{
+	return &fakeSource{
 		view:    &membership.View{Self: kvstore.Host{Name: "e1", Kind: kvstore.EntryHost, FailureDomain: "a"}, Hosts: hosts},
 		snap:    &config.Snapshot{Revision: 1, Services: map[string]config.Service{"loans": service}},
 		changed: make(chan struct{}),
 	}
 }
 
-func startEntry(t testing.TB, s *shared, claims routing.Claims) *entry {
+func startEntryHost(t testing.TB, s *fakeSource, claims routing.Claims) *entryHost {
 	r := routing.New(routing.Options{Seed: 1, DrainDelay: 20 * time.Millisecond, Membership: s, Config: s, Claims: claims})
 	mux := http.NewServeMux()
 	r.Register(mux)
@@ -95,7 +95,7 @@
 		cancel()
 		wg.Wait()
 	})
-	return &entry{shared: s, router: r, server: server, url: server.URL}
+	return &entryHost{source: s, router: r, server: server, url: server.URL}
 }
 
 // asOrganisation stands in for the token check: the header names the caller.
@@ -108,16 +108,16 @@
 	})
 }
 
-func (e *entry) self() *entry { return e }
+func (e *entryHost) self() *entryHost { return e }
 
 type reply struct {
-	status  int
-	outcome routing.Outcome
-	body    string
-	cut     bool
+	status    int
+	outcome   routing.Outcome
+	body      string
+	truncated bool
 }
 
-func (e *entry) do(t testing.TB, method, organisation, key string) reply {
+func (e *entryHost) send(t testing.TB, method, organisation, key string) reply {
 	req, err := http.NewRequest(method, e.url+"/v1/services/loans/requests/book", strings.NewReader("kit"))
 	must.NoError(t, err)
 	req.Header.Set("Organisation", organisation)
@@ -128,11 +128,11 @@
 	must.NoError(t, err)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, outcome: routing.Outcome(resp.Header.Get(routing.HeaderOutcome)), body: string(body), cut: err != nil}
+	return reply{status: resp.StatusCode, outcome: routing.Outcome(resp.Header.Get(routing.HeaderOutcome)), body: string(body), truncated: err != nil}
 }
 
-// runnerHost starts an upstream behind a fault proxy.
-func runnerHost(t testing.TB, o upstream.Options) (kvstore.Host, *upstream.Upstream, *faultproxy.Proxy) {
+// startProxiedUpstream starts an upstream behind a fault proxy.
+func startProxiedUpstream(t testing.TB, o upstream.Options) (kvstore.Host, *upstream.Upstream, *faultproxy.Proxy) {
 	u := upstream.New(o)
 	server := httptest.NewServer(u)
 	proxy, err := faultproxy.New(server.Listener.Addr().String())
@@ -149,8 +149,8 @@
 	return host, u, proxy
 }
 
-// runnerHosts starts upstreams that take their connections directly.
-func runnerHosts(t testing.TB, n int) []kvstore.Host {
+// startUpstreams starts upstreams that take their connections directly.
+func startUpstreams(t testing.TB, n int) []kvstore.Host {
 	var hosts []kvstore.Host
 	for i := range n {
 		name := fmt.Sprint("u", i)
@@ -174,7 +174,7 @@
 	t.Fatalf("timed out waiting until %s", what)
 }
 
-func answerTwice(l net.Listener, served *atomic.Int64, late time.Duration) {
+func serveDuplicateResponses(l net.Listener, served *atomic.Int64, late time.Duration) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -199,9 +199,9 @@
 	}
 }
 
-// load posts from n callers until the returned function is called, which
+// startLoad posts from n callers until the returned function is called, which
 // returns how often each outcome was seen.
-func load(t testing.TB, balancer func() *entry, n int) func() map[routing.Outcome]int {
+func startLoad(t testing.TB, balancer func() *entryHost, n int) func() map[routing.Outcome]int {
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -209,7 +209,7 @@
 	for range n {
 		wg.Go(func() {
 			for !stop.Load() {
-				got := balancer().do(t, "POST", "acme", "")
+				got := balancer().send(t, "POST", "acme", "")
 				mu.Lock()
 				seen[got.outcome]++
 				mu.Unlock()
--- a/routing/keyed.go
+++ b/routing/keyed.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxClaimWait    = 10 * time.Second // while a shard's owner changes
-	claimShare      = 2                // a claim waits at most 1/claimShare of what is left of the timeout
-	firstPoll       = 25 * time.Millisecond
-	maxPoll         = 500 * time.Millisecond
-	completeTimeout = 5 * time.Second
-	keptBodyBytes   = 2 << 10 // largest body recorded with a claim
+	maxClaimTimeout      = 10 * time.Second // while a shard's owner changes
+	claimTimeoutDivisor  = 2                // a claim waits at most 1/claimShare of what is left of the timeout
+	firstClaimPollDelay  = 25 * time.Millisecond
+	maxClaimPollDelay    = 500 * time.Millisecond
+	completeTimeout      = 5 * time.Second
+	maxRecordedBodyBytes = 2 << 10 // largest body recorded with a claim
 )
 
 // Claims decides who may execute an idempotency key. It is safe for concurrent use.
@@ -37,38 +37,38 @@
 // executeKeyed executes a call under its idempotency key, or answers with what
 // became of the key. A call that was granted is finished even when its caller
 // goes away.
-func (r *Router) executeKeyed(ctx context.Context, s *service, c *call) result {
-	if err := checkKey(c.key); err != nil {
-		return failed(NotRun, err)
+func (r *Router) executeKeyed(ctx context.Context, s *serviceDispatcher, c *call) callResult {
+	if err := checkKeyLength(c.idempotencyKey); err != nil {
+		return failedResult(NotRun, err)
 	}
 	if r.opts.Claims == nil {
-		return failed(NotRun, claims.ErrUnavailable)
+		return failedResult(NotRun, claims.ErrUnavailable)
 	}
-	if reason, ok := s.admit(r.opts.Now(), r.ticket(c)); !ok {
-		return failed(NotRun, errShed(reason))
+	if reason, ok := s.admit(r.opts.Now(), r.newTicket(c)); !ok {
+		return failedResult(NotRun, errShed(reason))
 	}
 	req := claims.Request{
-		Key:         claims.Key{Organisation: c.organisation, Service: c.service.Name, Key: c.key},
+		Key:         claims.Key{Organisation: c.organisation, Service: c.service.Name, Key: c.idempotencyKey},
 		Fingerprint: c.fingerprint(),
 		Attempt:     rand.Text(),
 		Until:       c.deadline,
 	}
 	reply, err := r.claim(ctx, c, req)
 	if err != nil {
-		r.release(ctx, req)
-		return failed(NotRun, apierr.From(err))
+		r.releaseClaim(ctx, req)
+		return failedResult(NotRun, apierr.From(err))
 	}
 	if reply.Verdict != claims.Granted {
-		return replay(reply)
+		return replayResult(reply)
 	}
 	if !r.opts.Now().Before(c.deadline) {
-		r.release(ctx, req)
-		return failed(NotRun, errShed(TooLate))
+		r.releaseClaim(ctx, req)
+		return failedResult(NotRun, errShed(TooLate))
 	}
 	return r.executeClaimed(ctx, s, c, req)
 }
 
-func checkKey(key string) *apierr.Error {
+func checkKeyLength(key string) *apierr.Error {
 	if len(key) <= claims.MaxKeyBytes {
 		return nil
 	}
@@ -77,7 +77,7 @@
 
 // claim asks for the key, waiting while another attempt runs.
 func (r *Router) claim(ctx context.Context, c *call, req claims.Request) (claims.Reply, error) {
-	delay := firstPoll
+	delay := firstClaimPollDelay
 	for {
 		reply, err := r.claimOnce(ctx, c.deadline, req)
 		if err != nil || reply.Verdict != claims.Running {
@@ -86,24 +86,24 @@
 		if r.opts.Now().Add(delay).After(c.deadline) || !pause.For(ctx, delay) {
 			return reply, nil
 		}
-		delay = min(2*delay, maxPoll)
+		delay = min(2*delay, maxClaimPollDelay)
 	}
 }
 
 func (r *Router) claimOnce(ctx context.Context, deadline time.Time, req claims.Request) (claims.Reply, error) {
-	wait := min(maxClaimWait, deadline.Sub(r.opts.Now())/claimShare)
+	wait := min(maxClaimTimeout, deadline.Sub(r.opts.Now())/claimTimeoutDivisor)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), wait)
 	defer cancel()
 	return r.opts.Claims.Claim(ctx, req)
 }
 
-func (r *Router) release(ctx context.Context, req claims.Request) {
-	r.complete(ctx, claims.Completion{Key: req.Key, Attempt: req.Attempt, NotRun: true})
+func (r *Router) releaseClaim(ctx context.Context, req claims.Request) {
+	r.completeClaim(ctx, claims.Completion{Key: req.Key, Attempt: req.Attempt, NotRun: true})
 }
 
-// complete records an attempt's end in the background, as the caller's answer
+// completeClaim records an attempt's end in the background, as the caller's answer
 // does not depend on it: a record that is lost leaves the key unknown.
-func (r *Router) complete(ctx context.Context, done claims.Completion) {
+func (r *Router) completeClaim(ctx context.Context, done claims.Completion) {
 	r.inFlight.Add(1)
 	go func() {
 		defer r.inFlight.Add(-1)
@@ -115,7 +115,7 @@
 	}()
 }
 
-func (r *Router) executeClaimed(ctx context.Context, s *service, c *call, req claims.Request) result {
+func (r *Router) executeClaimed(ctx context.Context, s *serviceDispatcher, c *call, req claims.Request) callResult {
 	res := r.execute(ctx, s, c)
 	done := claims.Completion{Key: req.Key, Attempt: req.Attempt}
 	switch {
@@ -124,43 +124,43 @@
 	case res.outcome == Unknown:
 		done.Unknown = true
 	default:
-		done.Answer = recorded(res.answer)
+		done.Answer = recordedAnswer(res.response)
 	}
-	r.complete(ctx, done)
+	r.completeClaim(ctx, done)
 	return res
 }
 
-func recorded(a *answer) claims.Answer {
+func recordedAnswer(a *response) claims.Answer {
 	out := claims.Answer{Status: a.status, ContentType: a.header.Get("Content-Type")}
-	if a.rest == nil && len(a.body) <= keptBodyBytes {
+	if a.rest == nil && len(a.body) <= maxRecordedBodyBytes {
 		out.Body, out.Kept = a.body, true
 	}
 	return out
 }
 
-// replay answers a call whose key was claimed before.
-func replay(reply claims.Reply) result {
+// replayResult answers a call whose key was claimed before.
+func replayResult(reply claims.Reply) callResult {
 	switch reply.Verdict {
 	case claims.Done:
-		return replayAnswer(reply.Answer)
+		return replayRecordedAnswer(reply.Answer)
 	case claims.Mismatch:
-		return failed(NotRun, apierr.New(apierr.Conflict, "the idempotency key belongs to another request", "use a new key for a new request"))
+		return failedResult(NotRun, apierr.New(apierr.Conflict, "the idempotency key belongs to another request", "use a new key for a new request"))
 	case claims.Running:
-		return failed(Unknown, apierr.New(apierr.OutcomeUnknown, "a request with this key is still running", "look the key's outcome up later"))
+		return failedResult(Unknown, apierr.New(apierr.OutcomeUnknown, "a request with this key is still running", "look the key's outcome up later"))
 	}
-	return failed(Unknown, apierr.New(apierr.OutcomeUnknown, "a request with this key was sent and its end is not known",
+	return failedResult(Unknown, apierr.New(apierr.OutcomeUnknown, "a request with this key was sent and its end is not known",
 		"look up what it did at the service; use a new key only if it did not run"))
 }
 
-func replayAnswer(a claims.Answer) result {
+func replayRecordedAnswer(a claims.Answer) callResult {
 	if !a.Kept {
-		return failed(Ran, apierr.New(apierr.Conflict,
+		return failedResult(Ran, apierr.New(apierr.Conflict,
 			"the request with this key ran and was answered with status "+strconv.Itoa(a.Status)+"; the answer's body is not kept",
 			"look up what it did at the service"))
 	}
 	header := make(http.Header)
 	header.Set("Content-Type", a.ContentType)
 	header.Set(headerReplayed, "true")
-	out := &answer{status: a.Status, header: header, length: int64(len(a.Body)), body: a.Body}
-	return result{outcome: Ran, answer: out, finish: func(bool) {}}
+	out := &response{status: a.Status, header: header, length: int64(len(a.Body)), body: a.Body}
+	return callResult{outcome: Ran, response: out, finish: func(bool) {}}
 }
--- a/routing/keyed_test.go
+++ b/routing/keyed_test.go
@@ -22,17 +22,17 @@
 	"github.com/cyclamentray/cyclamentray/standin/upstream"
 )
 
-// keyedEntry is an entry host with claims.
-type keyedEntry struct {
-	*entry
+// keyedEntryHost is an entry host with claims.
+type keyedEntryHost struct {
+	*entryHost
 	store *faultproxy.Proxy // its way to the platform
 	peers *peer.Server
 	claim *claims.Service
 	stop  func()
 }
 
-// startKeyed starts entry hosts that share a platform and upstreams.
-func startKeyed(t testing.TB, store *kv.Server, n int, interval time.Duration, upstreams ...kvstore.Host) []*keyedEntry {
+// startKeyedEntryHosts starts entry hosts that share a platform and upstreams.
+func startKeyedEntryHosts(t testing.TB, store *kv.Server, n int, interval time.Duration, upstreams ...kvstore.Host) []*keyedEntryHost {
 	server := httptest.NewServer(store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -48,18 +48,18 @@
 			Name: fmt.Sprintf("e%d", i), Kind: kvstore.EntryHost, FailureDomain: "a", PeerAddress: l.Addr().String(),
 		})
 	}
-	var out []*keyedEntry
+	var out []*keyedEntryHost
 	for i := range n {
 		self := hosts[len(upstreams)+i]
-		out = append(out, startKeyedEntry(t, server.Listener.Addr().String(), listeners[i], self, hosts, interval))
+		out = append(out, startKeyedEntryHost(t, server.Listener.Addr().String(), listeners[i], self, hosts, interval))
 	}
 	return out
 }
 
-func startKeyedEntry(t testing.TB, store string, l net.Listener, self kvstore.Host, hosts []kvstore.Host, interval time.Duration) *keyedEntry {
+func startKeyedEntryHost(t testing.TB, store string, l net.Listener, self kvstore.Host, hosts []kvstore.Host, interval time.Duration) *keyedEntryHost {
 	proxy, err := faultproxy.New(store)
 	must.NoError(t, err)
-	s := newShared(5*time.Second, hosts...)
+	s := newFakeSource(5*time.Second, hosts...)
 	s.view = &membership.View{Self: self, Hosts: hosts}
 	pool := peer.NewPool(peer.Options{})
 	service := claims.New(claims.Options{
@@ -83,17 +83,17 @@
 		_ = peers.Close()
 		_ = pool.Close()
 	})
-	return &keyedEntry{entry: startEntry(t, s, service), store: proxy, peers: peers, claim: service, stop: stop}
+	return &keyedEntryHost{entryHost: startEntryHost(t, s, service), store: proxy, peers: peers, claim: service, stop: stop}
 }
 
 // Callers send each key to every entry host at once and retry, while upstreams
 // cut answers, the platform loses answers, and an owner of keys is cut off. No
 // key runs twice, and whoever is told "not run" by all hosts is told the truth.
-func TestKeysRunOnceOnEveryHostAtOnce(t *testing.T) {
-	host, u, cutting := runnerHost(t, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
-	other, v, _ := runnerHost(t, upstream.Options{Name: "u2", Work: 2 * time.Millisecond})
-	entries := startKeyed(t, kv.New(), 3, 5*time.Millisecond, host, other)
-	must.Eq(t, routing.Ran, entries[0].do(t, "POST", "acme", "warm-up").outcome)
+func TestKeyRunsAtMostOnceAcrossEntryHosts(t *testing.T) {
+	host, u, cutting := startProxiedUpstream(t, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
+	other, v, _ := startProxiedUpstream(t, upstream.Options{Name: "u2", Work: 2 * time.Millisecond})
+	entries := startKeyedEntryHosts(t, kv.New(), 3, 5*time.Millisecond, host, other)
+	must.Eq(t, routing.Ran, entries[0].send(t, "POST", "acme", "warm-up").outcome)
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	ran := make(map[string]bool)
@@ -117,7 +117,7 @@
 		var tries sync.WaitGroup
 		outcomes := make([]routing.Outcome, 2*len(entries))
 		for i := range outcomes {
-			tries.Go(func() { outcomes[i] = entries[i%len(entries)].do(t, "POST", "acme", key).outcome })
+			tries.Go(func() { outcomes[i] = entries[i%len(entries)].send(t, "POST", "acme", key).outcome })
 		}
 		callers.Go(func() {
 			tries.Wait()
@@ -145,11 +145,11 @@
 	}
 }
 
-func TestRepeatedKeyIsAnsweredFromTheRecord(t *testing.T) {
-	host, u, _ := runnerHost(t, upstream.Options{Name: "u1"})
-	entries := startKeyed(t, kv.New(), 2, 5*time.Millisecond, host)
-	first := entries[0].do(t, "POST", "acme", "k")
-	again := entries[1].do(t, "POST", "acme", "k")
+func TestRepeatedKeyReplaysRecordedResponse(t *testing.T) {
+	host, u, _ := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	entries := startKeyedEntryHosts(t, kv.New(), 2, 5*time.Millisecond, host)
+	first := entries[0].send(t, "POST", "acme", "k")
+	again := entries[1].send(t, "POST", "acme", "k")
 	must.Eq(t, first, again)
 	must.Eq(t, 1, u.Executions()["k"])
 	req, err := http.NewRequest(http.MethodGet, entries[1].url+"/v1/services/loans/outcomes/k", nil)
--- a/routing/policy_bench_test.go
+++ b/routing/policy_bench_test.go
@@ -16,21 +16,21 @@
 // against runners whose speeds differ tenfold, beside plain round robin with
 // the same arrivals.
 const (
-	benchEntryHosts = 7
-	benchRunners    = 50
-	benchSlots      = 8
-	benchDomains    = 4
-	benchSpread     = 10.0                   // fastest to slowest
-	benchWork       = 200 * time.Millisecond // mean, on the slowest runner
-	benchTimeout    = 5 * time.Second
-	benchLength     = 12 * time.Second
-	benchWarmUp     = 3 * time.Second
-	benchLag        = time.Second // until every entry host knows of a change
-	benchReset      = time.Millisecond
+	benchEntryHosts           = 7
+	benchUpstreams            = 50
+	benchSlotsPerUpstream     = 8
+	benchDomains              = 4
+	benchSpeedRatio           = 10.0                   // fastest to slowest
+	benchMeanWork             = 200 * time.Millisecond // mean, on the slowest runner
+	benchTimeout              = 5 * time.Second
+	benchLength               = 12 * time.Second
+	benchWarmUp               = 3 * time.Second
+	benchUpdateDelay          = time.Second // until every entry host knows of a change
+	benchConnectionResetDelay = time.Millisecond
 )
 
-// demand is each organisation's part of the offered load.
-var demand = []float64{0.46, 0.18, 0.18, 0.18}
+// organisationLoadShare is each organisation's part of the offered load.
+var organisationLoadShare = []float64{0.46, 0.18, 0.18, 0.18}
 
 type simRequest struct {
 	id       uint64
@@ -66,7 +66,7 @@
 	return x
 }
 
-type simRunner struct {
+type simUpstream struct {
 	host    kvstore.Host
 	speed   float64
 	busy    int
@@ -77,46 +77,46 @@
 
 // sim is one run of one policy.
 type sim struct {
-	now      time.Time
-	events   simHeap
-	seq      int
-	rng      *rand.Rand
-	runners  []*simRunner
-	byName   map[string]*simRunner
-	cores    []*Dispatcher // empty: round robin
-	turn     []int         // of each entry host, for round robin
-	out      bool          // round robin knows that domain d0 is out
-	fleet    Topology
-	requests map[uint64]*simRequest
-	next     uint64
+	now            time.Time
+	events         simHeap
+	seq            int
+	rng            *rand.Rand
+	upstreams      []*simUpstream
+	byName         map[string]*simUpstream
+	dispatchers    []*Dispatcher // empty: round robin
+	nextRoundRobin []int         // of each entry host, for round robin
+	out            bool          // round robin knows that domain d0 is out
+	topology       Topology
+	requests       map[uint64]*simRequest
+	next           uint64
 
-	latencies  []time.Duration
-	work       []time.Duration // done in time, by organisation
-	windowFrom time.Time
-	windowWork time.Duration // done in time since windowFrom
-	peak       int
+	latencies    []time.Duration
+	work         []time.Duration // done in time, by organisation
+	measureFrom  time.Time
+	measuredWork time.Duration // done in time since windowFrom
+	peak         int
 }
 
 func newSim(core bool, seed int64) *sim {
-	s := &sim{now: start, rng: rand.New(rand.NewSource(seed)), byName: make(map[string]*simRunner), requests: make(map[uint64]*simRequest)}
-	s.work = make([]time.Duration, len(demand))
-	s.windowFrom = start.Add(benchWarmUp)
-	for i := range benchRunners {
+	s := &sim{now: start, rng: rand.New(rand.NewSource(seed)), byName: make(map[string]*simUpstream), requests: make(map[uint64]*simRequest)}
+	s.work = make([]time.Duration, len(organisationLoadShare))
+	s.measureFrom = start.Add(benchWarmUp)
+	for i := range benchUpstreams {
 		name := fmt.Sprintf("u%02d", i)
-		host := kvstore.Host{Name: name, Address: name, FailureDomain: fmt.Sprint("d", i%benchDomains), Slots: benchSlots, Connections: 60}
-		r := &simRunner{host: host, speed: math.Pow(benchSpread, float64(i)/(benchRunners-1))}
-		s.runners = append(s.runners, r)
+		host := kvstore.Host{Name: name, Address: name, FailureDomain: fmt.Sprint("d", i%benchDomains), Slots: benchSlotsPerUpstream, Connections: 60}
+		r := &simUpstream{host: host, speed: math.Pow(benchSpeedRatio, float64(i)/(benchUpstreams-1))}
+		s.upstreams = append(s.upstreams, r)
 		s.byName[name] = r
-		s.fleet.Upstreams = append(s.fleet.Upstreams, host)
+		s.topology.Upstreams = append(s.topology.Upstreams, host)
 	}
-	s.turn = make([]int, benchEntryHosts)
+	s.nextRoundRobin = make([]int, benchEntryHosts)
 	for i := range benchEntryHosts {
-		s.turn[i] = i * benchRunners / benchEntryHosts
-		s.fleet.EntryHosts = append(s.fleet.EntryHosts, kvstore.Host{Name: fmt.Sprint("e", i), FailureDomain: fmt.Sprint("d", i%benchDomains)})
+		s.nextRoundRobin[i] = i * benchUpstreams / benchEntryHosts
+		s.topology.EntryHosts = append(s.topology.EntryHosts, kvstore.Host{Name: fmt.Sprint("e", i), FailureDomain: fmt.Sprint("d", i%benchDomains)})
 	}
 	if core {
 		for i := range benchEntryHosts {
-			s.cores = append(s.cores, NewDispatcher(rand.New(rand.NewSource(seed+int64(i)))))
+			s.dispatchers = append(s.dispatchers, NewDispatcher(rand.New(rand.NewSource(seed+int64(i)))))
 		}
 	}
 	s.update(false)
@@ -126,8 +126,8 @@
 // update tells every entry host whether domain d0 is out.
 func (s *sim) update(out bool) {
 	s.out = out
-	for i, c := range s.cores {
-		f := s.fleet
+	for i, c := range s.dispatchers {
+		f := s.topology
 		f.Self, f.OutOfService = f.EntryHosts[i], map[string]bool{"d0": out}
 		s.apply(i, c.UpdateTopology(s.now, f))
 	}
@@ -141,9 +141,9 @@
 // capacity is the work on the slowest runner's scale that is done each second.
 func (s *sim) capacity(without string) float64 {
 	total := 0.0
-	for _, r := range s.runners {
+	for _, r := range s.upstreams {
 		if r.host.FailureDomain != without {
-			total += benchSlots * r.speed
+			total += benchSlotsPerUpstream * r.speed
 		}
 	}
 	return total
@@ -151,7 +151,7 @@
 
 // run offers load until the end of the run.
 func (s *sim) run(load float64) {
-	rate := load * s.capacity("") / benchWork.Seconds()
+	rate := load * s.capacity("") / benchMeanWork.Seconds()
 	end := start.Add(benchLength)
 	var arrive func()
 	arrive = func() {
@@ -159,13 +159,13 @@
 		s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	s.after(0, arrive)
-	for i := range s.cores {
+	for i := range s.dispatchers {
 		var tick func()
 		tick = func() {
-			for _, h := range s.cores[i].StartProbes(s.now) {
-				s.apply(i, s.cores[i].FinishProbe(s.now, h.Name, !s.byName[h.Name].lost, false))
+			for _, h := range s.dispatchers[i].StartProbes(s.now) {
+				s.apply(i, s.dispatchers[i].FinishProbe(s.now, h.Name, !s.byName[h.Name].lost, false))
 			}
-			s.apply(i, s.cores[i].Tick(s.now))
+			s.apply(i, s.dispatchers[i].Tick(s.now))
 			s.after(20*time.Millisecond, tick)
 		}
 		s.after(0, tick)
@@ -180,28 +180,28 @@
 func (s *sim) arrive() {
 	s.next++
 	q := &simRequest{id: s.next, host: s.rng.Intn(benchEntryHosts), arrived: s.now, deadline: s.now.Add(benchTimeout)}
-	q.work = time.Duration(s.rng.ExpFloat64() * float64(benchWork))
+	q.work = time.Duration(s.rng.ExpFloat64() * float64(benchMeanWork))
 	pick := s.rng.Float64()
-	for q.org = 0; q.org < len(demand)-1 && pick >= demand[q.org]; q.org++ {
-		pick -= demand[q.org]
+	for q.org = 0; q.org < len(organisationLoadShare)-1 && pick >= organisationLoadShare[q.org]; q.org++ {
+		pick -= organisationLoadShare[q.org]
 	}
 	s.requests[q.id] = q
 	s.submit(q)
 }
 
 func (s *sim) submit(q *simRequest) {
-	if s.cores == nil {
+	if s.dispatchers == nil {
 		s.sendTo(q, s.roundRobin(q.host), func(bool) {})
 		return
 	}
-	t := Ticket{ID: q.id, Organisation: fmt.Sprint("o", q.org), QueueDeadline: s.now.Add(q.deadline.Sub(s.now) / queueShare), Deadline: q.deadline, Retry: q.attempts > 0}
-	s.apply(q.host, s.cores[q.host].Submit(s.now, t))
+	t := Ticket{ID: q.id, Organisation: fmt.Sprint("o", q.org), QueueDeadline: s.now.Add(q.deadline.Sub(s.now) / queueTimeoutDivisor), Deadline: q.deadline, Retry: q.attempts > 0}
+	s.apply(q.host, s.dispatchers[q.host].Submit(s.now, t))
 }
 
-func (s *sim) roundRobin(host int) *simRunner {
+func (s *sim) roundRobin(host int) *simUpstream {
 	for {
-		s.turn[host]++
-		r := s.runners[s.turn[host]%len(s.runners)]
+		s.nextRoundRobin[host]++
+		r := s.upstreams[s.nextRoundRobin[host]%len(s.upstreams)]
 		if !s.out || r.host.FailureDomain != "d0" {
 			return r
 		}
@@ -220,8 +220,8 @@
 			if !whole {
 				rep.Result = Failed
 			}
-			s.apply(host, s.cores[host].FinishAttempt(s.now, rep))
-			if !whole && q.attempts < maxAttempts && s.cores[host].AllowRetry() {
+			s.apply(host, s.dispatchers[host].FinishAttempt(s.now, rep))
+			if !whole && q.attempts < maxAttempts && s.dispatchers[host].AllowRetry() {
 				s.requests[q.id] = q
 				s.submit(q)
 			}
@@ -230,13 +230,13 @@
 }
 
 // sendTo works on a request at a runner, after those that wait there.
-func (s *sim) sendTo(q *simRequest, r *simRunner, ended func(whole bool)) {
+func (s *sim) sendTo(q *simRequest, r *simUpstream, ended func(whole bool)) {
 	q.attempts++
 	begin := func() {
 		losses := r.losses
 		took := time.Duration(float64(q.work) / r.speed)
-		if r.host.FailureDomain != s.fleet.EntryHosts[q.host].FailureDomain {
-			took += remotePenalty
+		if r.host.FailureDomain != s.topology.EntryHosts[q.host].FailureDomain {
+			took += remoteRoundTrip
 		}
 		s.after(took, func() {
 			if r.losses != losses {
@@ -256,8 +256,8 @@
 	}
 	switch {
 	case r.lost:
-		s.after(benchReset, func() { ended(false) })
-	case r.busy < benchSlots:
+		s.after(benchConnectionResetDelay, func() { ended(false) })
+	case r.busy < benchSlotsPerUpstream:
 		r.busy++
 		begin()
 	default:
@@ -268,14 +268,14 @@
 
 func (s *sim) finish(q *simRequest) {
 	delete(s.requests, q.id)
-	if s.now.Before(s.windowFrom) {
+	if s.now.Before(s.measureFrom) {
 		return
 	}
 	took := s.now.Sub(q.arrived)
 	s.latencies = append(s.latencies, min(took, benchTimeout))
 	if s.now.Before(q.deadline) {
 		s.work[q.org] += q.work
-		s.windowWork += q.work
+		s.measuredWork += q.work
 	}
 }
 
@@ -288,7 +288,7 @@
 	}
 	b.ReportMetric(at(0.5), "p50-ms")
 	b.ReportMetric(at(0.99), "p99-ms")
-	b.ReportMetric(s.windowWork.Seconds()/ideal, "work/ideal")
+	b.ReportMetric(s.measuredWork.Seconds()/ideal, "work/ideal")
 	b.ReportMetric(slices.Min(s.work).Seconds()/slices.Max(s.work).Seconds(), "fairness")
 	b.ReportMetric(float64(s.peak), "peak-on-a-runner")
 	b.ReportMetric(0, "ns/op")
@@ -323,14 +323,14 @@
 			b.Run(fmt.Sprintf("lost=%v/%s", lost, policy), func(b *testing.B) {
 				for range b.N {
 					s := newSim(policy == "core", 1)
-					s.after(leave, func() { s.lose(lost) })
-					s.after(leave+benchLag, func() { s.update(true) })
-					s.after(back, func() { s.restore() })
-					s.after(back+benchLag, func() { s.update(false) })
+					s.after(leave, func() { s.startOutage(lost) })
+					s.after(leave+benchUpdateDelay, func() { s.update(true) })
+					s.after(back, func() { s.endOutage() })
+					s.after(back+benchUpdateDelay, func() { s.update(false) })
 					s.run(load)
 					away := back - leave
 					if lost {
-						away += benchLag
+						away += benchUpdateDelay
 					}
 					absent := min(load*s.capacity(""), s.capacity("d0")) * away.Seconds()
 					present := load * s.capacity("") * (benchLength - benchWarmUp - away).Seconds()
@@ -341,17 +341,17 @@
 	}
 }
 
-// lose takes domain d0's runners away with what they work on, when they are lost.
-func (s *sim) lose(lost bool) {
-	for _, r := range s.runners {
+// startOutage takes domain d0's runners away with what they work on, when they are lost.
+func (s *sim) startOutage(lost bool) {
+	for _, r := range s.upstreams {
 		if r.host.FailureDomain == "d0" && lost {
 			r.lost, r.losses, r.busy, r.waiting = true, r.losses+1, 0, nil
 		}
 	}
 }
 
-func (s *sim) restore() {
-	for _, r := range s.runners {
+func (s *sim) endOutage() {
+	for _, r := range s.upstreams {
 		r.lost = false
 	}
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -16,42 +16,42 @@
 	Retry          bool      // a later attempt: it goes before first attempts
 }
 
-// line is one organisation's queue and its use of slots.
-type line struct {
+// organisationQueue is one organisation's queue and its use of slots.
+type organisationQueue struct {
 	organisation string
 	waiting      []*Ticket // first come first
 	inFlight     int
-	used         float64 // work done and begun, in typical requests
-	served       uint64  // sequence number of its last dispatch
+	work         float64 // work done and begun, in typical requests
+	lastDispatch uint64  // sequence number of its last dispatch
 }
 
 // active reports whether the organisation waits or uses slots.
-func (l *line) active() bool { return l.inFlight > 0 || len(l.waiting) > 0 }
+func (l *organisationQueue) active() bool { return l.inFlight > 0 || len(l.waiting) > 0 }
 
 // fairQueue holds waiting tickets and picks the organisation that has used the
 // least work, so that each gets an equal share when all want more. Time on a
 // slot would not do: the organisation whose request ends on a fast runner would
 // get that runner's slot again.
 type fairQueue struct {
-	lines  []*line // ordered by organisation
-	length int
-	seq    uint64
+	queues     []*organisationQueue // ordered by organisation
+	length     int
+	dispatches uint64
 }
 
-func (q *fairQueue) line(organisation string) *line {
-	i, found := slices.BinarySearchFunc(q.lines, organisation, func(l *line, name string) int {
-		return compare(l.organisation, name)
+func (q *fairQueue) queueOf(organisation string) *organisationQueue {
+	i, found := slices.BinarySearchFunc(q.queues, organisation, func(l *organisationQueue, name string) int {
+		return compareNames(l.organisation, name)
 	})
 	if !found {
-		q.lines = slices.Insert(q.lines, i, &line{organisation: organisation})
+		q.queues = slices.Insert(q.queues, i, &organisationQueue{organisation: organisation})
 	}
-	return q.lines[i]
+	return q.queues[i]
 }
 
 func (q *fairQueue) push(t *Ticket) {
-	l := q.line(t.Organisation)
+	l := q.queueOf(t.Organisation)
 	if !l.active() {
-		l.used = max(l.used, q.leastUsed())
+		l.work = max(l.work, q.leastWork())
 	}
 	if t.Retry {
 		l.waiting = slices.Insert(l.waiting, 0, t)
@@ -61,27 +61,27 @@
 	q.length++
 }
 
-// next returns the line whose first ticket is to be served next, or nil.
-func (q *fairQueue) next() *line {
-	var best *line
-	for _, l := range q.lines {
+// nextQueue returns the line whose first ticket is to be served nextQueue, or nil.
+func (q *fairQueue) nextQueue() *organisationQueue {
+	var best *organisationQueue
+	for _, l := range q.queues {
 		if len(l.waiting) == 0 {
 			continue
 		}
-		if best == nil || before(l, best) {
+		if best == nil || servedBefore(l, best) {
 			best = l
 		}
 	}
 	return best
 }
 
-// leastUsed returns the smallest use of an active organisation. One that comes
+// leastWork returns the smallest use of an active organisation. One that comes
 // back from idling starts there and has saved nothing up.
-func (q *fairQueue) leastUsed() float64 {
+func (q *fairQueue) leastWork() float64 {
 	least := math.Inf(1)
-	for _, l := range q.lines {
+	for _, l := range q.queues {
 		if l.active() {
-			least = min(least, l.used)
+			least = min(least, l.work)
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -90,37 +90,37 @@
 	return least
 }
 
-func before(a, b *line) bool {
-	if a.used != b.used {
-		return a.used < b.used
+func servedBefore(a, b *organisationQueue) bool {
+	if a.work != b.work {
+		return a.work < b.work
 	}
-	return a.served < b.served
+	return a.lastDispatch < b.lastDispatch
 }
 
 // pop takes the first ticket of l and counts it as using a slot.
-func (q *fairQueue) pop(l *line) *Ticket {
+func (q *fairQueue) pop(l *organisationQueue) *Ticket {
 	t := l.waiting[0]
 	l.waiting = slices.Delete(l.waiting, 0, 1)
 	q.length--
-	q.seq++
-	l.served = q.seq
+	q.dispatches++
+	l.lastDispatch = q.dispatches
 	l.inFlight++
-	l.used++
+	l.work++
 	return t
 }
 
-// release ends a ticket's use of a slot. work is what it took, in typical
+// releaseSlot ends a ticket's use of a slot. work is what it took, in typical
 // requests; one was charged when it began.
-func (q *fairQueue) release(organisation string, work float64) {
-	l := q.line(organisation)
+func (q *fairQueue) releaseSlot(organisation string, work float64) {
+	l := q.queueOf(organisation)
 	l.inFlight--
-	l.used += work - 1
+	l.work += work - 1
 }
 
-// dropFromLongest removes the newest first attempt of the longest line.
-func (q *fairQueue) dropFromLongest() *Ticket {
-	var longest *line
-	for _, l := range q.lines {
+// dropNewestOfLongest removes the newest first attempt of the longest line.
+func (q *fairQueue) dropNewestOfLongest() *Ticket {
+	var longest *organisationQueue
+	for _, l := range q.queues {
 		if longest == nil || len(l.waiting) > len(longest.waiting) {
 			longest = l
 		}
@@ -134,7 +134,7 @@
 
 // remove takes a waiting ticket out; it reports whether it was there.
 func (q *fairQueue) remove(id uint64) bool {
-	for _, l := range q.lines {
+	for _, l := range q.queues {
 		for i, t := range l.waiting {
 			if t.ID == id {
 				l.waiting = slices.Delete(l.waiting, i, i+1)
@@ -146,10 +146,10 @@
 	return false
 }
 
-// expired removes and returns the tickets that have waited too long.
-func (q *fairQueue) expired(now time.Time) []*Ticket {
+// removeExpired removes and returns the tickets that have waited too long.
+func (q *fairQueue) removeExpired(now time.Time) []*Ticket {
 	var out []*Ticket
-	for _, l := range q.lines {
+	for _, l := range q.queues {
 		l.waiting = slices.DeleteFunc(l.waiting, func(t *Ticket) bool {
 			late := !now.Before(t.QueueDeadline)
 			if late {
@@ -162,10 +162,10 @@
 	return out
 }
 
-// busyLines counts the organisations that wait or use slots.
-func (q *fairQueue) busyLines() int {
+// activeQueues counts the organisations that wait or use slots.
+func (q *fairQueue) activeQueues() int {
 	n := 0
-	for _, l := range q.lines {
+	for _, l := range q.queues {
 		if l.active() {
 			n++
 		}
@@ -173,7 +173,7 @@
 	return n
 }
 
-func compare(a, b string) int {
+func compareNames(a, b string) int {
 	switch {
 	case a < b:
 		return -1
--- a/routing/router.go
+++ b/routing/router.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond
-	trimInterval = time.Second
-	drainPoll    = 10 * time.Millisecond
+	tickInterval      = 50 * time.Millisecond
+	poolTrimInterval  = time.Second
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // Options are what a Router needs.
@@ -41,15 +41,15 @@
 
 // Router serves callers' requests. It is safe for concurrent use.
 type Router struct {
-	opts     Options
-	meters   *meters
-	sequence atomic.Uint64
-	inFlight atomic.Int64
-	held     atomic.Int64 // bytes of bodies in memory
-	draining atomic.Bool
+	opts         Options
+	metrics      *routerMetrics
+	lastTicketID atomic.Uint64
+	inFlight     atomic.Int64
+	bodyBytes    atomic.Int64 // bytes of bodies in memory
+	draining     atomic.Bool
 
 	mu       sync.Mutex
-	services map[string]*service
+	services map[string]*serviceDispatcher
 	pools    map[string]*pool // by address
 }
 
@@ -62,14 +62,14 @@
 	}
 	o.Logger = defaults.Logger(o.Logger)
 	o.Metrics = defaults.Metrics(o.Metrics)
-	r := &Router{opts: o, services: make(map[string]*service), pools: make(map[string]*pool)}
-	r.meters = newMeters(o.Metrics, r)
+	r := &Router{opts: o, services: make(map[string]*serviceDispatcher), pools: make(map[string]*pool)}
+	r.metrics = newRouterMetrics(o.Metrics, r)
 	return r
 }
 
 // Register adds the router's calls to mux.
 func (r *Router) Register(mux *http.ServeMux) {
-	mux.HandleFunc("/v1/services/{service}/requests/{path...}", r.serve)
+	mux.HandleFunc("/v1/services/{service}/requests/{path...}", r.serveRequest)
 	mux.HandleFunc("GET /v1/services/{service}/outcomes/{key}", r.serveOutcome)
 }
 
@@ -78,7 +78,7 @@
 // upstreams that failed.
 func (r *Router) Run(ctx context.Context) error {
 	var probes sync.WaitGroup
-	defer r.closeIdle()
+	defer r.closeIdleConnections()
 	defer probes.Wait()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -93,57 +93,57 @@
 		}
 		now := r.opts.Now()
 		r.tick(ctx, now, &probes)
-		if now.Sub(lastTrim) >= trimInterval {
+		if now.Sub(lastTrim) >= poolTrimInterval {
 			lastTrim = now
-			r.trim()
+			r.trimPools()
 		}
 	}
 }
 
 func (r *Router) tick(ctx context.Context, now time.Time, probes *sync.WaitGroup) {
 	for _, s := range r.allServices() {
-		r.refresh(s)
+		r.refreshService(s)
 		for _, host := range s.tick(now) {
 			probes.Add(1)
 			go func() {
 				defer probes.Done()
-				alive, closing := r.probe(ctx, host)
-				s.probed(r.opts.Now(), host.Name, alive, closing)
+				alive, closing := r.probeUpstream(ctx, host)
+				s.finishProbe(r.opts.Now(), host.Name, alive, closing)
 			}()
 		}
 	}
 }
 
-func (r *Router) refresh(s *service) {
+func (r *Router) refreshService(s *serviceDispatcher) {
 	snap, _ := r.opts.Config.Current()
 	s.refresh(r.opts.Now(), r.opts.Membership.View(), snap)
 }
 
-func (r *Router) allServices() []*service {
+func (r *Router) allServices() []*serviceDispatcher {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]*service, 0, len(r.services))
+	out := make([]*serviceDispatcher, 0, len(r.services))
 	for _, s := range r.services {
 		out = append(out, s)
 	}
 	return out
 }
 
-// service returns the driver of a service's core, with membership and
+// serviceFor returns the driver of a serviceFor's core, with membership and
 // configuration as of now.
-func (r *Router) service(name string) *service {
+func (r *Router) serviceFor(name string) *serviceDispatcher {
 	r.mu.Lock()
 	s := r.services[name]
 	if s == nil {
-		s = newService(name, r.opts.Seed+int64(len(r.services)))
+		s = newServiceDispatcher(name, r.opts.Seed+int64(len(r.services)))
 		r.services[name] = s
 	}
 	r.mu.Unlock()
-	r.refresh(s)
+	r.refreshService(s)
 	return s
 }
 
-func (r *Router) pool(host kvstore.Host) *pool {
+func (r *Router) poolFor(host kvstore.Host) *pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pools[host.Address]
@@ -161,10 +161,10 @@
 	}
 	view := r.opts.Membership.View()
 	f := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
-	return Share(host.Connections, host.Name, view.Self.Name, f.sharers(host))
+	return Share(host.Connections, host.Name, view.Self.Name, f.sharingHosts(host))
 }
 
-func (r *Router) trim() {
+func (r *Router) trimPools() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -173,13 +173,13 @@
 		listed[h.Address] = true
 	}
 	for address, p := range r.pools {
-		if p.trim(now) == 0 && !listed[address] {
+		if p.closeExpired(now) == 0 && !listed[address] {
 			delete(r.pools, address)
 		}
 	}
 }
 
-func (r *Router) closeIdle() {
+func (r *Router) closeIdleConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pools {
@@ -201,7 +201,7 @@
 		return ctx.Err()
 	}
 	for r.inFlight.Load() > 0 {
-		if !pause.For(ctx, drainPoll) {
+		if !pause.For(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -20,67 +20,67 @@
 	"github.com/cyclamentray/cyclamentray/standin/upstream"
 )
 
-func TestOnlyTheServicesCallersReachIt(t *testing.T) {
-	host, u, _ := runnerHost(t, upstream.Options{Name: "u1"})
-	e := startEntry(t, newShared(time.Second, host), nil)
-	must.Eq(t, routing.Ran, e.do(t, "POST", "acme", "").outcome)
-	must.Eq(t, routing.Ran, e.do(t, "POST", "north", "").outcome)
-	refused := e.do(t, "POST", "stranger", "")
+func TestOnlyAuthorisedOrganisationsReachService(t *testing.T) {
+	host, u, _ := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	e := startEntryHost(t, newFakeSource(time.Second, host), nil)
+	must.Eq(t, routing.Ran, e.send(t, "POST", "acme", "").outcome)
+	must.Eq(t, routing.Ran, e.send(t, "POST", "north", "").outcome)
+	refused := e.send(t, "POST", "stranger", "")
 	must.Eq(t, http.StatusNotFound, refused.status)
 	must.Eq(t, routing.NotRun, refused.outcome)
 	must.Eq(t, int64(2), u.Executed())
 }
 
-func TestRetiredServiceRefusesAndTellsItsCallersOnly(t *testing.T) {
-	host, u, _ := runnerHost(t, upstream.Options{Name: "u1"})
-	s := newShared(time.Second, host)
-	e := startEntry(t, s, nil)
-	must.Eq(t, routing.Ran, e.do(t, "POST", "north", "").outcome)
+func TestRetiredServiceReturnsGoneOnlyToItsCallers(t *testing.T) {
+	host, u, _ := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	s := newFakeSource(time.Second, host)
+	e := startEntryHost(t, s, nil)
+	must.Eq(t, routing.Ran, e.send(t, "POST", "north", "").outcome)
 	s.mu.Lock()
 	s.snap = &config.Snapshot{Revision: 2, Retired: map[string]uint64{"loans": 2}, RetiredServices: s.snap.Services}
 	s.mu.Unlock()
-	refused := e.do(t, "POST", "north", "")
+	refused := e.send(t, "POST", "north", "")
 	must.Eq(t, http.StatusGone, refused.status)
 	must.Eq(t, routing.NotRun, refused.outcome)
-	must.Eq(t, http.StatusNotFound, e.do(t, "POST", "stranger", "").status)
+	must.Eq(t, http.StatusNotFound, e.send(t, "POST", "stranger", "").status)
 	must.Eq(t, int64(1), u.Executed())
 }
 
 // A kept connection that the upstream's side has closed or lost must not make
 // a non-idempotent request fail or run twice.
 func TestNonIdempotentNotSentOnFrozenConnection(t *testing.T) {
-	host, u, proxy := runnerHost(t, upstream.Options{Name: "u1"})
-	e := startEntry(t, newShared(3*time.Second, host), nil)
-	must.Eq(t, routing.Ran, e.do(t, "GET", "acme", "").outcome)
+	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
+	must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	proxy.FreezeOpen(faultproxy.Up)
 	proxy.FreezeOpen(faultproxy.Down)
 	time.Sleep(150 * time.Millisecond) // the kept connection is no longer just proved alive
-	must.Eq(t, routing.Ran, e.do(t, "POST", "acme", "").outcome)
+	must.Eq(t, routing.Ran, e.send(t, "POST", "acme", "").outcome)
 	must.Eq(t, int64(2), u.Executed())
 }
 
-func TestIdempotentRequestLeavesFrozenConnection(t *testing.T) {
-	host, _, proxy := runnerHost(t, upstream.Options{Name: "u1"})
-	other, _, _ := runnerHost(t, upstream.Options{Name: "u2"})
-	e := startEntry(t, newShared(8*time.Second, host, other), nil)
+func TestIdempotentRequestSurvivesFrozenConnection(t *testing.T) {
+	host, _, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	other, _, _ := startProxiedUpstream(t, upstream.Options{Name: "u2"})
+	e := startEntryHost(t, newFakeSource(8*time.Second, host, other), nil)
 	for range 8 {
-		must.Eq(t, routing.Ran, e.do(t, "GET", "acme", "").outcome)
+		must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	}
 	proxy.FreezeOpen(faultproxy.Up)
 	for range 8 {
-		must.Eq(t, routing.Ran, e.do(t, "GET", "acme", "").outcome)
+		must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	}
 }
 
-func TestCutBeforeAnswerIsUnknownAndNotSentAgain(t *testing.T) {
-	host, u, proxy := runnerHost(t, upstream.Options{Name: "u1"})
-	other, v, _ := runnerHost(t, upstream.Options{Name: "u2"})
-	e := startEntry(t, newShared(3*time.Second, host), nil)
+func TestConnectionCutBeforeResponseIsUnknownAndNotRetried(t *testing.T) {
+	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
+	other, v, _ := startProxiedUpstream(t, upstream.Options{Name: "u2"})
+	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
 	proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
-	e.shared.setHosts(host, other)
+	e.source.setHosts(host, other)
 	for i := 0; u.Executed() == 0; i++ {
 		must.Less(t, 50, i)
-		got := e.do(t, "POST", "acme", "")
+		got := e.send(t, "POST", "acme", "")
 		if u.Executed() > 0 {
 			must.Eq(t, routing.Unknown, got.outcome)
 			must.Eq(t, http.StatusGatewayTimeout, got.status)
@@ -88,13 +88,13 @@
 	}
 	before := v.Executed()
 	must.Eq(t, int64(1), u.Executed())
-	must.Eq(t, routing.Ran, e.do(t, "GET", "acme", "").outcome)
+	must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	must.Eq(t, before+1, v.Executed())
 }
 
 // An answer cut at any byte never looks whole: small answers become "unknown",
 // large ones abort the caller's connection.
-func TestAnswerCutAtEveryByte(t *testing.T) {
+func TestTruncatedResponseIsNeverReportedComplete(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		var calls atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,9 +114,9 @@
 		offset := int64(0)
 		for ; ; offset++ {
 			proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: offset})
-			e := startEntry(t, newShared(testTimeout, host), nil)
+			e := startEntryHost(t, newFakeSource(testTimeout, host), nil)
 			before := calls.Load()
-			got := e.do(t, "POST", "acme", "")
+			got := e.send(t, "POST", "acme", "")
 			must.Eq(t, before+1, calls.Load(), must.Sprintf("offset %d", offset))
 			if got == whole {
 				break
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestLargeAnswerCutAbortsCaller(t *testing.T) {
+func TestTruncatedLargeResponseAbortsCallerConnection(t *testing.T) {
 	large := strings.Repeat("x", 1<<20)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, large) // in chunks, as no length is set
@@ -140,38 +140,38 @@
 	must.NoError(t, err)
 	defer proxy.Close()
 	host := kvstore.Host{Name: "u1", Kind: kvstore.Upstream, FailureDomain: "a", Service: "loans", Address: proxy.Addr(), Slots: 8}
-	e := startEntry(t, newShared(testTimeout, host), nil)
-	got := e.do(t, "GET", "acme", "")
-	must.False(t, got.cut)
+	e := startEntryHost(t, newFakeSource(testTimeout, host), nil)
+	got := e.send(t, "GET", "acme", "")
+	must.False(t, got.truncated)
 	must.Eq(t, len(large), len(got.body))
 	proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 700 << 10})
 	proxy.CutOpen()
-	must.True(t, e.do(t, "GET", "acme", "").cut)
+	must.True(t, e.send(t, "GET", "acme", "").truncated)
 }
 
 // An upstream that answers every request twice, at once or late, must not have
 // its second answer taken for that of the next request.
-func TestDoubledAnswersNeverCross(t *testing.T) {
+func TestDuplicateResponseIsNotTakenForNextRequest(t *testing.T) {
 	for _, late := range []time.Duration{0, 5 * time.Millisecond} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		var served atomic.Int64
-		go answerTwice(listener, &served, late)
+		go serveDuplicateResponses(listener, &served, late)
 		host := kvstore.Host{Name: "u1", Kind: kvstore.Upstream, FailureDomain: "a", Service: "loans", Address: listener.Addr().String(), Slots: 8}
-		e := startEntry(t, newShared(testTimeout, host), nil)
+		e := startEntryHost(t, newFakeSource(testTimeout, host), nil)
 		for i := range 20 {
-			must.Eq(t, fmt.Sprintf("answer %d", i+1), e.do(t, "GET", "acme", "").body)
+			must.Eq(t, fmt.Sprintf("answer %d", i+1), e.send(t, "GET", "acme", "").body)
 			time.Sleep(2 * late)
 		}
 		must.NoError(t, listener.Close())
 	}
 }
 
-func TestUpstreamLeavingUnderLoad(t *testing.T) {
-	host, u, _ := runnerHost(t, upstream.Options{Name: "u1", Work: 5 * time.Millisecond})
-	other, _, _ := runnerHost(t, upstream.Options{Name: "u2", Work: 5 * time.Millisecond})
-	e := startEntry(t, newShared(testTimeout, host, other), nil)
-	stop := load(t, e.self, 8)
+func TestLeavingUpstreamCausesNoFailedRequests(t *testing.T) {
+	host, u, _ := startProxiedUpstream(t, upstream.Options{Name: "u1", Work: 5 * time.Millisecond})
+	other, _, _ := startProxiedUpstream(t, upstream.Options{Name: "u2", Work: 5 * time.Millisecond})
+	e := startEntryHost(t, newFakeSource(testTimeout, host, other), nil)
+	stop := startLoad(t, e.self, 8)
 	waitFor(t, "both work", func() bool { return u.Executed() > 20 })
 	u.Leave()
 	time.Sleep(time.Second)
@@ -184,14 +184,14 @@
 	}
 }
 
-func TestFailureDomainOutGetsNothingNew(t *testing.T) {
-	host, u, _ := runnerHost(t, upstream.Options{Name: "u1", Work: 5 * time.Millisecond})
-	other, _, _ := runnerHost(t, upstream.Options{Name: "u2", Work: 5 * time.Millisecond})
+func TestFailureDomainTakenOutGetsNoNewRequests(t *testing.T) {
+	host, u, _ := startProxiedUpstream(t, upstream.Options{Name: "u1", Work: 5 * time.Millisecond})
+	other, _, _ := startProxiedUpstream(t, upstream.Options{Name: "u2", Work: 5 * time.Millisecond})
 	other.FailureDomain = "b"
-	e := startEntry(t, newShared(testTimeout, host, other), nil)
-	stop := load(t, e.self, 8)
+	e := startEntryHost(t, newFakeSource(testTimeout, host, other), nil)
+	stop := startLoad(t, e.self, 8)
 	waitFor(t, "the local one works", func() bool { return u.Executed() > 20 })
-	e.shared.setOut("a", true)
+	e.source.setOut("a", true)
 	out := time.Now()
 	time.Sleep(time.Second)
 	must.Less(t, 200*time.Millisecond, u.LastStart().Sub(out))
@@ -202,13 +202,13 @@
 
 // A partition swallows everything to and from another failure domain under
 // load. What was sent there is unknown; what comes later runs here.
-func TestPartitionFromAnotherFailureDomain(t *testing.T) {
+func TestRequestsRunLocallyAfterPartitionFromRemoteDomain(t *testing.T) {
 	const slots = 8
-	near, _, _ := runnerHost(t, upstream.Options{Name: "near", Work: 5 * time.Millisecond})
-	far, v, link := runnerHost(t, upstream.Options{Name: "far", Work: 5 * time.Millisecond})
+	near, _, _ := startProxiedUpstream(t, upstream.Options{Name: "near", Work: 5 * time.Millisecond})
+	far, v, link := startProxiedUpstream(t, upstream.Options{Name: "far", Work: 5 * time.Millisecond})
 	far.FailureDomain = "b"
-	e := startEntry(t, newShared(time.Second, near, far), nil)
-	stop := load(t, e.self, 3*slots)
+	e := startEntryHost(t, newFakeSource(time.Second, near, far), nil)
+	stop := startLoad(t, e.self, 3*slots)
 	waitFor(t, "the far one works", func() bool { return v.Executed() > 20 })
 	lost := faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true}
 	link.Set(faultproxy.Up, lost)
@@ -222,17 +222,17 @@
 
 // One of two entry hosts drains and exits under load: no caller behind the
 // balancer sees anything but whole answers.
-func TestDrainCutsOffNothing(t *testing.T) {
-	host, _, _ := runnerHost(t, upstream.Options{Name: "u1", Work: 200 * time.Millisecond})
-	s := newShared(testTimeout, host)
-	leaving, staying := startEntry(t, s, nil), startEntry(t, s, nil)
-	balancer := func() *entry {
+func TestDrainInterruptsNoRequest(t *testing.T) {
+	host, _, _ := startProxiedUpstream(t, upstream.Options{Name: "u1", Work: 200 * time.Millisecond})
+	s := newFakeSource(testTimeout, host)
+	leaving, staying := startEntryHost(t, s, nil), startEntryHost(t, s, nil)
+	balancer := func() *entryHost {
 		if leaving.router.Draining() {
 			return staying
 		}
 		return leaving
 	}
-	stop := load(t, balancer, 6)
+	stop := startLoad(t, balancer, 6)
 	time.Sleep(300 * time.Millisecond)
 	must.NoError(t, leaving.router.Drain(t.Context()))
 	must.NoError(t, leaving.server.Config.Close())
--- a/routing/serve.go
+++ b/routing/serve.go
@@ -20,26 +20,26 @@
 	// headerIncarnation tells the prefix of keys bound to this entry host.
 	headerIncarnation = "Cyclamentray-Incarnation"
 
-	callerProgress = 30 * time.Second // without taking a byte of its answer
-	copyBytes      = 32 << 10
+	callerProgressTimeout = 30 * time.Second // without taking a byte of its answer
+	copyBufferBytes       = 32 << 10
 )
 
-func (r *Router) serve(w http.ResponseWriter, req *http.Request) {
+func (r *Router) serveRequest(w http.ResponseWriter, req *http.Request) {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	began := r.opts.Now()
-	r.announce(w)
+	r.setCommonHeaders(w)
 	id, config, err := r.authorise(req)
 	if err != nil {
 		writeError(w, NotRun, err)
 		return
 	}
-	held, ok := r.hold(req)
+	held, ok := r.reserveBody(req)
 	if !ok {
 		writeError(w, NotRun, errShed(QueueFull))
 		return
 	}
-	defer r.held.Add(-held)
+	defer r.bodyBytes.Add(-held)
 	c, err := readCall(req, id.Organisation, config, began)
 	if err != nil {
 		writeError(w, NotRun, err)
@@ -48,21 +48,21 @@
 	ctx, span := otel.Tracer(tracerName).Start(req.Context(), "routing.request")
 	defer span.End()
 	span.SetAttributes(attribute.String("service", config.Name), attribute.String("method", c.method))
-	s := r.service(config.Name)
-	var res result
-	if c.key != "" && !c.idempotent {
+	s := r.serviceFor(config.Name)
+	var res callResult
+	if c.idempotencyKey != "" && !c.idempotent {
 		res = r.executeKeyed(ctx, s, c)
 	} else {
 		res = r.execute(ctx, s, c)
 	}
 	span.SetAttributes(attribute.String("outcome", string(res.outcome)))
-	r.meters.count(config.Name, id.Organisation, res.outcome)
-	r.meters.duration.Update(r.opts.Now().Sub(began).Seconds())
+	r.metrics.count(config.Name, id.Organisation, res.outcome)
+	r.metrics.duration.Update(r.opts.Now().Sub(began).Seconds())
 	writeResult(w, res)
 }
 
-// announce sets what every answer carries.
-func (r *Router) announce(w http.ResponseWriter) {
+// setCommonHeaders sets what every answer carries.
+func (r *Router) setCommonHeaders(w http.ResponseWriter) {
 	if r.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -71,14 +71,14 @@
 	}
 }
 
-func writeResult(w http.ResponseWriter, res result) {
-	if res.answer == nil {
+func writeResult(w http.ResponseWriter, res callResult) {
+	if res.response == nil {
 		writeError(w, res.outcome, res.err)
 		return
 	}
-	a := res.answer
+	a := res.response
 	replayed := a.header.Get(headerReplayed)
-	for name, values := range endToEnd(a.header) {
+	for name, values := range endToEndHeader(a.header) {
 		w.Header()[name] = values
 	}
 	if replayed != "" {
@@ -107,10 +107,10 @@
 // arrived. A caller that takes nothing for long is cut off.
 func copyRest(w http.ResponseWriter, rest io.Reader) bool {
 	rc := http.NewResponseController(w)
-	buf := make([]byte, copyBytes)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := rest.Read(buf)
-		_ = rc.SetWriteDeadline(time.Now().Add(callerProgress))
+		_ = rc.SetWriteDeadline(time.Now().Add(callerProgressTimeout))
 		if _, err := w.Write(buf[:n]); err != nil {
 			return false
 		}
@@ -133,7 +133,7 @@
 }
 
 func (r *Router) serveOutcome(w http.ResponseWriter, req *http.Request) {
-	r.announce(w)
+	r.setCommonHeaders(w)
 	id, service, err := r.authorise(req)
 	if err != nil && err.Kind != apierr.Retired {
 		writeError(w, NotRun, err)
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,43 +11,43 @@
 	"github.com/cyclamentray/cyclamentray/membership"
 )
 
-// grant is the core's decision on one ticket.
-type grant struct {
-	dispatch Dispatch
-	shed     ShedReason // not empty: refused
+// decision is the core's decision on one ticket.
+type decision struct {
+	dispatch   Dispatch
+	shedReason ShedReason // not empty: refused
 }
 
-// service drives the core of one service. It is safe for concurrent use.
-type service struct {
+// serviceDispatcher drives the core of one serviceDispatcher. It is safe for concurrent use.
+type serviceDispatcher struct {
 	name string
 
-	mu       sync.Mutex
-	core     *Dispatcher
-	waiters  map[uint64]chan grant
-	view     *membership.View
-	snapshot *config.Snapshot
+	mu         sync.Mutex
+	dispatcher *Dispatcher
+	waiters    map[uint64]chan decision
+	view       *membership.View
+	snapshot   *config.Snapshot
 }
 
-func newService(name string, seed int64) *service {
-	return &service{
-		name:    name,
-		core:    NewDispatcher(rand.New(rand.NewSource(seed))),
-		waiters: make(map[uint64]chan grant),
+func newServiceDispatcher(name string, seed int64) *serviceDispatcher {
+	return &serviceDispatcher{
+		name:       name,
+		dispatcher: NewDispatcher(rand.New(rand.NewSource(seed))),
+		waiters:    make(map[uint64]chan decision),
 	}
 }
 
 // refresh passes a new view or snapshot to the core.
-func (s *service) refresh(now time.Time, view *membership.View, snap *config.Snapshot) {
+func (s *serviceDispatcher) refresh(now time.Time, view *membership.View, snap *config.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.view == view && s.snapshot == snap {
 		return
 	}
 	s.view, s.snapshot = view, snap
-	s.apply(s.core.UpdateTopology(now, newFleet(s.name, view, snap)))
+	s.deliver(s.dispatcher.UpdateTopology(now, newTopology(s.name, view, snap)))
 }
 
-func newFleet(name string, view *membership.View, snap *config.Snapshot) Topology {
+func newTopology(name string, view *membership.View, snap *config.Snapshot) Topology {
 	f := Topology{
 		Self:         view.Self,
 		EntryHosts:   entryHosts(view),
@@ -70,18 +70,18 @@
 }
 
 // admit reports whether a request would be taken now.
-func (s *service) admit(now time.Time, t Ticket) (ShedReason, bool) {
+func (s *serviceDispatcher) admit(now time.Time, t Ticket) (ShedReason, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Admit(now, t)
+	return s.dispatcher.Admit(now, t)
 }
 
-// acquire waits for a slot. It returns ctx's error when the caller is gone first.
-func (s *service) acquire(ctx context.Context, now func() time.Time, t Ticket) (grant, error) {
-	ch := make(chan grant, 1)
+// acquireSlot waits for a slot. It returns ctx's error when the caller is gone first.
+func (s *serviceDispatcher) acquireSlot(ctx context.Context, now func() time.Time, t Ticket) (decision, error) {
+	ch := make(chan decision, 1)
 	s.mu.Lock()
 	s.waiters[t.ID] = ch
-	s.apply(s.core.Submit(now(), t))
+	s.deliver(s.dispatcher.Submit(now(), t))
 	s.mu.Unlock()
 	select {
 	case g := <-ch:
@@ -90,56 +90,56 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.core.Cancel(t.ID) {
+	if s.dispatcher.Cancel(t.ID) {
 		delete(s.waiters, t.ID)
-		return grant{}, ctx.Err()
+		return decision{}, ctx.Err()
 	}
-	if g := <-ch; g.shed == "" {
-		s.apply(s.core.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
+	if g := <-ch; g.shedReason == "" {
+		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
 	}
-	return grant{}, ctx.Err()
+	return decision{}, ctx.Err()
 }
 
-func (s *service) finish(now time.Time, rep AttemptReport) {
+func (s *serviceDispatcher) finishAttempt(now time.Time, rep AttemptReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.core.FinishAttempt(now, rep))
+	s.deliver(s.dispatcher.FinishAttempt(now, rep))
 }
 
-func (s *service) retry() bool {
+func (s *serviceDispatcher) allowRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.AllowRetry()
+	return s.dispatcher.AllowRetry()
 }
 
-func (s *service) waiting() int {
+func (s *serviceDispatcher) queueLength() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.QueueLength()
+	return s.dispatcher.QueueLength()
 }
 
 // tick gives the core the time and returns the upstreams to probe.
-func (s *service) tick(now time.Time) []kvstore.Host {
+func (s *serviceDispatcher) tick(now time.Time) []kvstore.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.core.Tick(now))
-	return s.core.StartProbes(now)
+	s.deliver(s.dispatcher.Tick(now))
+	return s.dispatcher.StartProbes(now)
 }
 
-func (s *service) probed(now time.Time, upstream string, alive, closing bool) {
+func (s *serviceDispatcher) finishProbe(now time.Time, upstream string, alive, closing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(s.core.FinishProbe(now, upstream, alive, closing))
+	s.deliver(s.dispatcher.FinishProbe(now, upstream, alive, closing))
 }
 
-// apply hands decisions to the waiting requests. The caller holds mu.
-func (s *service) apply(d Decisions) {
+// deliver hands decisions to the waiting requests. The caller holds mu.
+func (s *serviceDispatcher) deliver(d Decisions) {
 	for _, x := range d.Dispatches {
-		s.waiters[x.Ticket] <- grant{dispatch: x}
+		s.waiters[x.Ticket] <- decision{dispatch: x}
 		delete(s.waiters, x.Ticket)
 	}
 	for _, x := range d.Sheds {
-		s.waiters[x.Ticket] <- grant{shed: x.Reason}
+		s.waiters[x.Ticket] <- decision{shedReason: x.Reason}
 		delete(s.waiters, x.Ticket)
 	}
 }
