--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -45,9 +45,9 @@
 
 // refusal returns the reason when the upstream states that it did not execute
 // the request, and whether it does.
-func (a *response) refusal() (string, bool) {
-	stated := a.status == http.StatusServiceUnavailable && a.header.Get(HeaderOutcome) == string(NotRun)
-	return a.header.Get(HeaderReason), stated
+func (resp *response) refusal() (string, bool) {
+	notRun := resp.status == http.StatusServiceUnavailable && resp.header.Get(HeaderOutcome) == string(NotRun)
+	return resp.header.Get(HeaderReason), notRun
 }
 
 // exchange is one attempt at one upstream.
@@ -68,9 +68,9 @@
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Upstream.Name))
 	x := &exchange{pool: r.poolFor(d.Upstream)}
-	limit := c.deadline
-	if patience := r.opts.Now().Add(d.AttemptTimeout); c.idempotent && patience.Before(limit) {
-		limit = patience
+	deadline := c.deadline
+	if attemptDeadline := r.opts.Now().Add(d.AttemptTimeout); c.idempotent && attemptDeadline.Before(deadline) {
+		deadline = attemptDeadline
 	}
 	req, err := c.upstreamRequest(ctx, d.Upstream.Address)
 	if err != nil {
@@ -78,7 +78,7 @@
 		return x
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
-	x.err = x.roundTrip(ctx, req, r.maxConnectionAge(c), r.connectionLimit(d.Upstream), limit)
+	x.err = x.roundTrip(ctx, req, r.maxConnectionAge(c), r.connectionLimit(d.Upstream), deadline)
 	if x.err != nil {
 		span.RecordError(x.err)
 	}
@@ -95,13 +95,13 @@
 	return freshConnectionAge
 }
 
-func (x *exchange) roundTrip(ctx context.Context, req *http.Request, age time.Duration, connections int, limit time.Time) error {
-	if err := x.connect(ctx, req.URL.Host, age, connections, limit); err != nil {
+func (x *exchange) roundTrip(ctx context.Context, req *http.Request, maxAge time.Duration, connectionLimit int, deadline time.Time) error {
+	if err := x.connect(ctx, req.URL.Host, maxAge, connectionLimit, deadline); err != nil {
 		return err
 	}
 	id := strconv.FormatUint(lastRequestID.Add(1), 36)
 	req.Header.Set(HeaderRequestID, id)
-	resp, err := x.conn.roundTrip(req, limit)
+	resp, err := x.conn.roundTrip(req, deadline)
 	x.sent = x.conn.sent
 	if err != nil {
 		return err
@@ -116,23 +116,23 @@
 // An upstream that names none gets a fresh connection for each request: on a
 // reused one, a late second answer to an earlier request looks like this one's.
 func (x *exchange) checkRequestID(resp *http.Response, id string) error {
-	named := resp.Header.Get(HeaderRequestID)
+	echoedID := resp.Header.Get(HeaderRequestID)
 	resp.Header.Del(HeaderRequestID)
-	x.idEchoed = named == id
-	if named != "" && !x.idEchoed {
+	x.idEchoed = echoedID == id
+	if echoedID != "" && !x.idEchoed {
 		return errWrongRequestID
 	}
 	return nil
 }
 
-func (x *exchange) connect(ctx context.Context, address string, age time.Duration, connections int, limit time.Time) error {
-	x.conn = x.pool.takeIdle(time.Now(), age)
+func (x *exchange) connect(ctx context.Context, address string, maxAge time.Duration, connectionLimit int, deadline time.Time) error {
+	x.conn = x.pool.takeIdle(time.Now(), maxAge)
 	if x.conn != nil {
 		return nil
 	}
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), limit)
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
-	x.pool.reserve(connections)
+	x.pool.reserve(connectionLimit)
 	c, err := dial(ctx, address)
 	if err != nil {
 		x.pool.discard(nil)
@@ -144,8 +144,8 @@
 
 // readResponse takes the answer whole, or its first part when it is large.
 func (x *exchange) readResponse(resp *http.Response) error {
-	framed := resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked")
-	if !framed && resp.Request.Method != http.MethodHead {
+	hasLength := resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked")
+	if !hasLength && resp.Request.Method != http.MethodHead {
 		return errNoBodyLength
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
@@ -162,13 +162,13 @@
 
 // release keeps the connection for reuse when its answer was read to the end and
 // nothing else came, and closes it otherwise.
-func (x *exchange) release(whole bool) {
+func (x *exchange) release(complete bool) {
 	c := x.conn
 	if c == nil {
 		return
 	}
 	x.conn = nil
-	if !whole || !x.idEchoed || x.err != nil || c.notReusable || x.response.connectionClose || c.reader.Buffered() > 0 {
+	if !complete || !x.idEchoed || x.err != nil || c.notReusable || x.response.connectionClose || c.reader.Buffered() > 0 {
 		x.pool.discard(c)
 		return
 	}
@@ -196,7 +196,7 @@
 
 // probeUpstream tells whether an upstream answers HTTP at all, on a fresh connection.
 func (r *Router) probeUpstream(ctx context.Context, host kvstore.Host) (alive, closing bool) {
-	limit := time.Now().Add(dialTimeout)
+	deadline := time.Now().Add(dialTimeout)
 	c, err := dial(ctx, host.Address)
 	if err != nil {
 		return false, false
@@ -207,7 +207,7 @@
 		return false, false
 	}
 	req.URL.Opaque = "*"
-	resp, err := c.roundTrip(req, limit)
+	resp, err := c.roundTrip(req, deadline)
 	if err != nil {
 		return false, false
 	}
--- a/routing/conn.go
+++ b/routing/conn.go
@@ -76,11 +76,11 @@
 }
 
 func (c *conn) read(p []byte) (int, error) {
-	limit := c.attemptDeadline
+	deadline := c.attemptDeadline
 	if c.responseStarted {
-		limit = c.progressDeadline()
+		deadline = c.progressDeadline()
 	}
-	if err := c.SetReadDeadline(limit); err != nil {
+	if err := c.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
@@ -104,8 +104,8 @@
 
 // roundTrip sends req and reads the head of its final answer. The answer's
 // body must be read to its end before the connection is used again.
-func (c *conn) roundTrip(req *http.Request, limit time.Time) (*http.Response, error) {
-	c.sent, c.responseStarted, c.attemptDeadline = false, false, limit
+func (c *conn) roundTrip(req *http.Request, deadline time.Time) (*http.Response, error) {
+	c.sent, c.responseStarted, c.attemptDeadline = false, false, deadline
 	if err := c.send(req); err != nil {
 		return c.readEarlyResponse(req, err)
 	}
@@ -170,14 +170,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	silent := false
 	peek := func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		silent = err == syscall.EAGAIN
 		return true
 	}
-	return raw.Read(peek) == nil && quiet
+	return raw.Read(peek) == nil && silent
 }
 
 // pool keeps the idle connections to one upstream. It is safe for concurrent use.
@@ -189,15 +189,15 @@
 
 // takeIdle returns an idle connection on which nothing has arrived and that
 // answered within age, or nil. It closes those that are no longer fit.
-func (p *pool) takeIdle(now time.Time, age time.Duration) *conn {
+func (p *pool) takeIdle(now time.Time, maxAge time.Duration) *conn {
 	for {
 		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
-		since := now.Sub(c.lastResponse)
-		if since <= maxIdleAge && c.openAndSilent() {
-			if since <= age {
+		idleFor := now.Sub(c.lastResponse)
+		if idleFor <= maxIdleAge && c.openAndSilent() {
+			if idleFor <= maxAge {
 				return c
 			}
 			p.putIdle(c)
--- a/routing/core.go
+++ b/routing/dispatcher.go
@@ -103,16 +103,16 @@
 func (c *Dispatcher) UpdateTopology(now time.Time, f Topology) Decisions {
 	next := make([]*upstreamState, 0, len(f.Upstreams))
 	for _, host := range f.Upstreams {
-		r := c.upstreams.find(host.Name)
-		known := r != nil && r.host.Address == host.Address
+		u := c.upstreams.find(host.Name)
+		known := u != nil && u.host.Address == host.Address
 		if !known {
-			r = &upstreamState{inFlight: make(map[uint64]time.Time)}
+			u = &upstreamState{inFlight: make(map[uint64]time.Time)}
 		}
-		r.host = host
-		r.local = host.FailureDomain == f.Self.FailureDomain
-		r.outOfService = f.OutOfService[host.FailureDomain]
-		r.setShare(now, slotShare(host, f), known)
-		next = append(next, r)
+		u.host = host
+		u.local = host.FailureDomain == f.Self.FailureDomain
+		u.outOfService = f.OutOfService[host.FailureDomain]
+		u.setShare(now, slotShare(host, f), known)
+		next = append(next, u)
 	}
 	slices.SortFunc(next, func(a, b *upstreamState) int { return compareNames(a.host.Name, b.host.Name) })
 	c.upstreams.states = next
@@ -156,8 +156,8 @@
 	if rate == 0 {
 		return "", true
 	}
-	ahead := float64(len(c.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, c.queue.activeQueues()))
-	wait := time.Duration(ahead / rate * float64(time.Second))
+	requestsAhead := float64(len(c.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, c.queue.activeQueues()))
+	wait := time.Duration(requestsAhead / rate * float64(time.Second))
 	if now.Add(wait).After(t.QueueDeadline) {
 		return TooLate, false
 	}
@@ -187,9 +187,9 @@
 
 func (c *Dispatcher) queueLimit() int {
 	slots := 0
-	for _, r := range c.upstreams.states {
-		if r.usable() {
-			slots += r.share
+	for _, u := range c.upstreams.states {
+		if u.usable() {
+			slots += u.share
 		}
 	}
 	return max(minQueueLimit, queueLimitPerSlot*slots)
@@ -216,33 +216,33 @@
 
 // chargedWork returns what a request took, in typical requests of its runner, so that
 // the runner's speed does not count.
-func chargedWork(now time.Time, r *upstreamState, rep AttemptReport) float64 {
-	if rep.Result != Responded || r.samples == 0 {
+func chargedWork(now time.Time, u *upstreamState, rep AttemptReport) float64 {
+	if rep.Result != Responded || u.samples == 0 {
 		return 1
 	}
-	took := now.Sub(r.inFlight[rep.Ticket]).Seconds()
-	return min(maxWorkCharge, took/max(r.latencySeconds, minLatencySeconds))
+	took := now.Sub(u.inFlight[rep.Ticket]).Seconds()
+	return min(maxWorkCharge, took/max(u.latencySeconds, minLatencySeconds))
 }
 
-func (c *Dispatcher) recordResult(now time.Time, r *upstreamState, rep AttemptReport) {
-	latency := now.Sub(r.inFlight[rep.Ticket])
+func (c *Dispatcher) recordResult(now time.Time, u *upstreamState, rep AttemptReport) {
+	latency := now.Sub(u.inFlight[rep.Ticket])
 	switch rep.Result {
 	case Responded:
-		r.recordSuccess(now, latency)
+		u.recordSuccess(now, latency)
 	case ServerError:
-		r.consecutiveServerErrors++
-		if r.consecutiveServerErrors >= serverErrorLimit {
-			r.recordFailure(now, c.rng.Float64())
+		u.consecutiveServerErrors++
+		if u.consecutiveServerErrors >= serverErrorLimit {
+			u.recordFailure(now, c.rng.Float64())
 		}
 	case Failed:
-		r.recordFailure(now, c.rng.Float64())
+		u.recordFailure(now, c.rng.Float64())
 	case Leaving:
-		r.markLeaving(now)
+		u.markLeaving(now)
 	case Full:
-		r.blockUntil(now.Add(fullBackoff))
+		u.blockUntil(now.Add(fullBackoff))
 	}
 	if rep.ConnectionClose {
-		r.markLeaving(now)
+		u.markLeaving(now)
 	}
 }
 
@@ -250,10 +250,10 @@
 // must be followed by Probed.
 func (c *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
-	for _, r := range c.upstreams.states {
-		if r.probeDue(now) {
-			r.probeInFlight = true
-			out = append(out, r.host)
+	for _, u := range c.upstreams.states {
+		if u.probeDue(now) {
+			u.probeInFlight = true
+			out = append(out, u.host)
 		}
 	}
 	return out
@@ -262,8 +262,8 @@
 // FinishProbe takes a probe's end into account: whether the upstream answered, and
 // whether it said Connection: close.
 func (c *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
-	if r := c.upstreams.find(upstream); r != nil {
-		r.recordProbe(now, alive, closing, c.rng.Float64())
+	if u := c.upstreams.find(upstream); u != nil {
+		u.recordProbe(now, alive, closing, c.rng.Float64())
 	}
 	return c.dispatchWaiting(now, Decisions{})
 }
@@ -279,31 +279,31 @@
 	for _, t := range c.queue.removeExpired(now) {
 		d = c.shed(now, d, t.ID, TooLate)
 	}
-	for _, r := range c.upstreams.states {
-		r.applyPendingShare(now)
+	for _, u := range c.upstreams.states {
+		u.applyPendingShare(now)
 	}
 	for {
-		l := c.queue.nextQueue()
-		if l == nil {
+		oq := c.queue.nextQueue()
+		if oq == nil {
 			return d
 		}
 		if !c.anyUsable() {
 			d = c.shed(now, d, c.queue.dropNewestOfLongest().ID, NoUpstream)
 			continue
 		}
-		r := c.chooseUpstream(now, l.waiting[0])
-		if r == nil {
+		u := c.chooseUpstream(now, oq.waiting[0])
+		if u == nil {
 			return d
 		}
-		d.Dispatches = append(d.Dispatches, c.dispatch(now, c.queue.pop(l), r))
+		d.Dispatches = append(d.Dispatches, c.dispatch(now, c.queue.pop(oq), u))
 	}
 }
 
-func (c *Dispatcher) dispatch(now time.Time, t *Ticket, r *upstreamState) Dispatch {
-	r.inFlight[t.ID] = now
-	c.attempts[t.ID] = attempt{ticket: t, upstream: r}
-	patience := time.Duration(attemptTimeoutFactor * r.latencySeconds * float64(time.Second))
-	return Dispatch{Ticket: t.ID, Upstream: r.host, AttemptTimeout: max(patience, minAttemptTimeout)}
+func (c *Dispatcher) dispatch(now time.Time, t *Ticket, u *upstreamState) Dispatch {
+	u.inFlight[t.ID] = now
+	c.attempts[t.ID] = attempt{ticket: t, upstream: u}
+	timeout := time.Duration(attemptTimeoutFactor * u.latencySeconds * float64(time.Second))
+	return Dispatch{Ticket: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
 }
 
 func (c *Dispatcher) shed(now time.Time, d Decisions, id uint64, reason ShedReason) Decisions {
@@ -337,18 +337,18 @@
 	var chosen *upstreamState
 	lowest := math.Inf(1)
 	ties := 0
-	for _, r := range c.upstreams.states {
-		if !r.available(now) || slices.Contains(avoid, r.host.Name) {
+	for _, u := range c.upstreams.states {
+		if !u.available(now) || slices.Contains(avoid, u.host.Name) {
 			continue
 		}
-		cost := r.cost(now, best)
+		cost := u.cost(now, best)
 		switch {
 		case cost < lowest:
-			chosen, lowest, ties = r, cost, 1
+			chosen, lowest, ties = u, cost, 1
 		case cost == lowest:
 			ties++
 			if c.rng.Intn(ties) == 0 {
-				chosen = r
+				chosen = u
 			}
 		}
 	}
@@ -360,12 +360,12 @@
 // so the longer the queue, the slower a runner is still worth using.
 func (c *Dispatcher) waitingIsFaster(now time.Time, best, duration float64) bool {
 	rate, sum, busy := 0.0, 0.0, 0
-	for _, r := range c.upstreams.states {
-		n := len(r.inFlight)
-		if n == 0 || r.samples == 0 || !r.usable() || now.Before(r.blockedUntil) {
+	for _, u := range c.upstreams.states {
+		n := len(u.inFlight)
+		if n == 0 || u.samples == 0 || !u.usable() || now.Before(u.blockedUntil) {
 			continue
 		}
-		other := r.expectedSeconds(now, best)
+		other := u.expectedSeconds(now, best)
 		if other >= duration {
 			continue
 		}
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -58,9 +58,9 @@
 func (r *Router) execute(ctx context.Context, s *serviceDispatcher, c *call) callResult {
 	outcome := NotRun
 	var avoid []string
-	for n := 1; ; n++ {
+	for attempts := 1; ; attempts++ {
 		t := r.newTicket(c)
-		t.AvoidUpstreams, t.Retry = avoid, n > 1
+		t.AvoidUpstreams, t.Retry = avoid, attempts > 1
 		g, err := s.acquireSlot(ctx, r.opts.Now, t)
 		if err != nil {
 			return failedResult(outcome, apierr.New(apierr.Unavailable, "the caller went away", ""))
@@ -82,7 +82,7 @@
 		if outcome == Unknown && !c.idempotent {
 			return failedResult(Unknown, errUnknown())
 		}
-		if n == maxAttempts || !r.opts.Now().Before(c.deadline) || !s.allowRetry() {
+		if attempts == maxAttempts || !r.opts.Now().Before(c.deadline) || !s.allowRetry() {
 			return r.resultWithoutResponse(outcome, errUnreachable())
 		}
 		r.metrics.retries.Inc()
@@ -119,9 +119,9 @@
 		s.finishAttempt(r.opts.Now(), rep)
 		return res
 	}
-	res.finish = func(whole bool) {
-		x.release(whole)
-		if !whole {
+	res.finish = func(complete bool) {
+		x.release(complete)
+		if !complete {
 			rep.Result = Failed
 		}
 		s.finishAttempt(r.opts.Now(), rep)
--- a/routing/keyed.go
+++ b/routing/keyed.go
@@ -130,10 +130,10 @@
 	return res
 }
 
-func recordedAnswer(a *response) claims.Answer {
-	out := claims.Answer{Status: a.status, ContentType: a.header.Get("Content-Type")}
-	if a.rest == nil && len(a.body) <= maxRecordedBodyBytes {
-		out.Body, out.Kept = a.body, true
+func recordedAnswer(resp *response) claims.Answer {
+	out := claims.Answer{Status: resp.status, ContentType: resp.header.Get("Content-Type")}
+	if resp.rest == nil && len(resp.body) <= maxRecordedBodyBytes {
+		out.Body, out.Kept = resp.body, true
 	}
 	return out
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -26,7 +26,7 @@
 }
 
 // active reports whether the organisation waits or uses slots.
-func (l *organisationQueue) active() bool { return l.inFlight > 0 || len(l.waiting) > 0 }
+func (oq *organisationQueue) active() bool { return oq.inFlight > 0 || len(oq.waiting) > 0 }
 
 // fairQueue holds waiting tickets and picks the organisation that has used the
 // least work, so that each gets an equal share when all want more. Time on a
@@ -39,8 +39,8 @@
 }
 
 func (q *fairQueue) queueOf(organisation string) *organisationQueue {
-	i, found := slices.BinarySearchFunc(q.queues, organisation, func(l *organisationQueue, name string) int {
-		return compareNames(l.organisation, name)
+	i, found := slices.BinarySearchFunc(q.queues, organisation, func(oq *organisationQueue, name string) int {
+		return compareNames(oq.organisation, name)
 	})
 	if !found {
 		q.queues = slices.Insert(q.queues, i, &organisationQueue{organisation: organisation})
@@ -49,14 +49,14 @@
 }
 
 func (q *fairQueue) push(t *Ticket) {
-	l := q.queueOf(t.Organisation)
-	if !l.active() {
-		l.work = max(l.work, q.leastWork())
+	oq := q.queueOf(t.Organisation)
+	if !oq.active() {
+		oq.work = max(oq.work, q.leastWork())
 	}
 	if t.Retry {
-		l.waiting = slices.Insert(l.waiting, 0, t)
+		oq.waiting = slices.Insert(oq.waiting, 0, t)
 	} else {
-		l.waiting = append(l.waiting, t)
+		oq.waiting = append(oq.waiting, t)
 	}
 	q.length++
 }
@@ -64,12 +64,12 @@
 // nextQueue returns the line whose first ticket is to be served nextQueue, or nil.
 func (q *fairQueue) nextQueue() *organisationQueue {
 	var best *organisationQueue
-	for _, l := range q.queues {
-		if len(l.waiting) == 0 {
+	for _, oq := range q.queues {
+		if len(oq.waiting) == 0 {
 			continue
 		}
-		if best == nil || servedBefore(l, best) {
-			best = l
+		if best == nil || servedBefore(oq, best) {
+			best = oq
 		}
 	}
 	return best
@@ -79,9 +79,9 @@
 // back from idling starts there and has saved nothing up.
 func (q *fairQueue) leastWork() float64 {
 	least := math.Inf(1)
-	for _, l := range q.queues {
-		if l.active() {
-			least = min(least, l.work)
+	for _, oq := range q.queues {
+		if oq.active() {
+			least = min(least, oq.work)
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -98,31 +98,31 @@
 }
 
 // pop takes the first ticket of l and counts it as using a slot.
-func (q *fairQueue) pop(l *organisationQueue) *Ticket {
-	t := l.waiting[0]
-	l.waiting = slices.Delete(l.waiting, 0, 1)
+func (q *fairQueue) pop(oq *organisationQueue) *Ticket {
+	t := oq.waiting[0]
+	oq.waiting = slices.Delete(oq.waiting, 0, 1)
 	q.length--
 	q.dispatches++
-	l.lastDispatch = q.dispatches
-	l.inFlight++
-	l.work++
+	oq.lastDispatch = q.dispatches
+	oq.inFlight++
+	oq.work++
 	return t
 }
 
 // releaseSlot ends a ticket's use of a slot. work is what it took, in typical
 // requests; one was charged when it began.
 func (q *fairQueue) releaseSlot(organisation string, work float64) {
-	l := q.queueOf(organisation)
-	l.inFlight--
-	l.work += work - 1
+	oq := q.queueOf(organisation)
+	oq.inFlight--
+	oq.work += work - 1
 }
 
 // dropNewestOfLongest removes the newest first attempt of the longest line.
 func (q *fairQueue) dropNewestOfLongest() *Ticket {
 	var longest *organisationQueue
-	for _, l := range q.queues {
-		if longest == nil || len(l.waiting) > len(longest.waiting) {
-			longest = l
+	for _, oq := range q.queues {
+		if longest == nil || len(oq.waiting) > len(longest.waiting) {
+			longest = oq
 		}
 	}
 	last := len(longest.waiting) - 1
@@ -134,10 +134,10 @@
 
 // remove takes a waiting ticket out; it reports whether it was there.
 func (q *fairQueue) remove(id uint64) bool {
-	for _, l := range q.queues {
-		for i, t := range l.waiting {
+	for _, oq := range q.queues {
+		for i, t := range oq.waiting {
 			if t.ID == id {
-				l.waiting = slices.Delete(l.waiting, i, i+1)
+				oq.waiting = slices.Delete(oq.waiting, i, i+1)
 				q.length--
 				return true
 			}
@@ -149,8 +149,8 @@
 // removeExpired removes and returns the tickets that have waited too long.
 func (q *fairQueue) removeExpired(now time.Time) []*Ticket {
 	var out []*Ticket
-	for _, l := range q.queues {
-		l.waiting = slices.DeleteFunc(l.waiting, func(t *Ticket) bool {
+	for _, oq := range q.queues {
+		oq.waiting = slices.DeleteFunc(oq.waiting, func(t *Ticket) bool {
 			late := !now.Before(t.QueueDeadline)
 			if late {
 				out = append(out, t)
@@ -165,8 +165,8 @@
 // activeQueues counts the organisations that wait or use slots.
 func (q *fairQueue) activeQueues() int {
 	n := 0
-	for _, l := range q.queues {
-		if l.active() {
+	for _, oq := range q.queues {
+		if oq.active() {
 			n++
 		}
 	}
--- a/routing/serve.go
+++ b/routing/serve.go
@@ -34,12 +34,12 @@
 		writeError(w, NotRun, err)
 		return
 	}
-	held, ok := r.reserveBody(req)
+	reserved, ok := r.reserveBody(req)
 	if !ok {
 		writeError(w, NotRun, errShed(QueueFull))
 		return
 	}
-	defer r.bodyBytes.Add(-held)
+	defer r.bodyBytes.Add(-reserved)
 	c, err := readCall(req, id.Organisation, config, began)
 	if err != nil {
 		writeError(w, NotRun, err)
@@ -76,28 +76,28 @@
 		writeError(w, res.outcome, res.err)
 		return
 	}
-	a := res.response
-	replayed := a.header.Get(headerReplayed)
-	for name, values := range endToEndHeader(a.header) {
+	resp := res.response
+	replayed := resp.header.Get(headerReplayed)
+	for name, values := range endToEndHeader(resp.header) {
 		w.Header()[name] = values
 	}
 	if replayed != "" {
 		w.Header().Set(headerReplayed, replayed)
 	}
-	if a.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.length, 10))
+	if resp.length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(resp.length, 10))
 	}
 	w.Header().Set(HeaderOutcome, string(res.outcome))
-	w.WriteHeader(a.status)
-	_, err := w.Write(a.body)
-	if a.rest == nil {
+	w.WriteHeader(resp.status)
+	_, err := w.Write(resp.body)
+	if resp.rest == nil {
 		// Drain counts a request as answered once its bytes have left.
 		_ = http.NewResponseController(w).Flush()
 		return
 	}
-	whole := err == nil && copyRest(w, a.rest)
-	res.finish(whole)
-	if !whole {
+	complete := err == nil && copyRest(w, resp.rest)
+	res.finish(complete)
+	if !complete {
 		// The caller must see that the answer is cut.
 		panic(http.ErrAbortHandler)
 	}
--- a/routing/share.go
+++ b/routing/share.go
@@ -21,9 +21,9 @@
 		return 0
 	}
 	offset := int(xxhash.Sum64String(upstream) % uint64(n))
-	turn := (rank - offset + n) % n
+	rotatedRank := (rank - offset + n) % n
 	share := limit / n
-	if turn < limit%n {
+	if rotatedRank < limit%n {
 		share++
 	}
 	return share
--- a/routing/runner.go
+++ b/routing/upstream.go
@@ -47,145 +47,145 @@
 
 // setShare shrinks at once and grows only after a delay, in which the requests
 // of a host that has just gone may still be running on the upstream.
-func (r *upstreamState) setShare(now time.Time, share int, known bool) {
-	if !known || share <= r.share {
-		r.share = share
-		r.pendingShareAt = time.Time{}
+func (u *upstreamState) setShare(now time.Time, share int, known bool) {
+	if !known || share <= u.share {
+		u.share = share
+		u.pendingShareAt = time.Time{}
 		return
 	}
-	if r.pendingShareAt.IsZero() {
-		r.pendingShareAt = now.Add(shareGrowthDelay)
+	if u.pendingShareAt.IsZero() {
+		u.pendingShareAt = now.Add(shareGrowthDelay)
 	}
-	r.pendingShare = share
+	u.pendingShare = share
 }
 
-func (r *upstreamState) applyPendingShare(now time.Time) {
-	if !r.pendingShareAt.IsZero() && !now.Before(r.pendingShareAt) {
-		r.share = r.pendingShare
-		r.pendingShareAt = time.Time{}
+func (u *upstreamState) applyPendingShare(now time.Time) {
+	if !u.pendingShareAt.IsZero() && !now.Before(u.pendingShareAt) {
+		u.share = u.pendingShare
+		u.pendingShareAt = time.Time{}
 	}
 }
 
 // usable reports whether new requests may go to the runner at all.
-func (r *upstreamState) usable() bool { return !r.outOfService && !r.host.Leaving && r.share > 0 }
+func (u *upstreamState) usable() bool { return !u.outOfService && !u.host.Leaving && u.share > 0 }
 
 // available reports whether one more request may go to the runner now.
-func (r *upstreamState) available(now time.Time) bool {
-	if !r.usable() || r.probeRequired || now.Before(r.blockedUntil) {
+func (u *upstreamState) available(now time.Time) bool {
+	if !u.usable() || u.probeRequired || now.Before(u.blockedUntil) {
 		return false
 	}
-	if r.halfOpen {
-		return len(r.inFlight) == 0
+	if u.halfOpen {
+		return len(u.inFlight) == 0
 	}
-	return len(r.inFlight) < r.share
+	return len(u.inFlight) < u.share
 }
 
 // expectedServiceSeconds returns the seconds that a request is expectedServiceSeconds to take. best is the
 // smallest estimate of the service; it stands in for a runner never tried, and
 // an estimate that has gone unused drifts back towards it, so that a runner
 // that has recovered is found again.
-func (r *upstreamState) expectedServiceSeconds(now time.Time, best float64) float64 {
-	if r.samples == 0 {
+func (u *upstreamState) expectedServiceSeconds(now time.Time, best float64) float64 {
+	if u.samples == 0 {
 		return best
 	}
-	idle := now.Sub(r.measuredAt).Seconds()
-	if len(r.inFlight) > 0 {
+	idle := now.Sub(u.measuredAt).Seconds()
+	if len(u.inFlight) > 0 {
 		idle = 0
 	}
-	drift := math.Exp2(-idle / latencyExcessHalfLife.Seconds())
-	estimate := best + max(0, r.latencySeconds-best)*drift
-	return max(estimate, r.oldestInFlightSeconds(now))
+	decay := math.Exp2(-idle / latencyExcessHalfLife.Seconds())
+	estimate := best + max(0, u.latencySeconds-best)*decay
+	return max(estimate, u.oldestInFlightSeconds(now))
 }
 
-func (r *upstreamState) oldestInFlightSeconds(now time.Time) float64 {
+func (u *upstreamState) oldestInFlightSeconds(now time.Time) float64 {
 	age := time.Duration(0)
-	for _, start := range r.inFlight {
+	for _, start := range u.inFlight {
 		age = max(age, now.Sub(start))
 	}
 	return age.Seconds()
 }
 
 // expectedSeconds is the expected time as the caller sees it, in seconds.
-func (r *upstreamState) expectedSeconds(now time.Time, best float64) float64 {
-	expected := r.expectedServiceSeconds(now, best)
-	if r.local {
+func (u *upstreamState) expectedSeconds(now time.Time, best float64) float64 {
+	expected := u.expectedServiceSeconds(now, best)
+	if u.local {
 		return expected
 	}
 	return expected + remoteRoundTrip.Seconds()
 }
 
 // cost is the duration with the preference for the local failure domain.
-func (r *upstreamState) cost(now time.Time, best float64) float64 {
-	if r.local {
-		return r.expectedSeconds(now, best)
+func (u *upstreamState) cost(now time.Time, best float64) float64 {
+	if u.local {
+		return u.expectedSeconds(now, best)
 	}
-	return r.expectedSeconds(now, best) * remoteCostFactor
+	return u.expectedSeconds(now, best) * remoteCostFactor
 }
 
-func (r *upstreamState) recordSuccess(now time.Time, latency time.Duration) {
-	weight := max(latencyWeight, 1/float64(r.samples+1))
-	r.latencySeconds += weight * (latency.Seconds() - r.latencySeconds)
-	r.samples++
-	r.measuredAt = now
-	r.consecutiveFailures = 0
-	r.consecutiveServerErrors = 0
-	r.halfOpen = false
+func (u *upstreamState) recordSuccess(now time.Time, latency time.Duration) {
+	weight := max(latencyWeight, 1/float64(u.samples+1))
+	u.latencySeconds += weight * (latency.Seconds() - u.latencySeconds)
+	u.samples++
+	u.measuredAt = now
+	u.consecutiveFailures = 0
+	u.consecutiveServerErrors = 0
+	u.halfOpen = false
 }
 
 // recordFailure stops new requests for a time that doubles with each failure in a row.
 // Requests in flight that recordFailure together count once. jitter is in [0, 1).
-func (r *upstreamState) recordFailure(now time.Time, jitter float64) {
-	if r.probeRequired {
+func (u *upstreamState) recordFailure(now time.Time, jitter float64) {
+	if u.probeRequired {
 		return
 	}
-	pause := firstBackoff << min(r.consecutiveFailures, 10)
-	pause = min(pause, maxBackoff)
-	pause = pause/2 + time.Duration(jitter*float64(pause/2))
-	r.consecutiveFailures++
-	r.halfOpen = true
-	r.probeRequired = true
-	r.blockUntil(now.Add(pause))
+	backoff := firstBackoff << min(u.consecutiveFailures, 10)
+	backoff = min(backoff, maxBackoff)
+	backoff = backoff/2 + time.Duration(jitter*float64(backoff/2))
+	u.consecutiveFailures++
+	u.halfOpen = true
+	u.probeRequired = true
+	u.blockUntil(now.Add(backoff))
 }
 
 // markLeaving heeds the runner's own sign that it is leaving.
-func (r *upstreamState) markLeaving(now time.Time) {
-	r.halfOpen = true
-	r.probeRequired = true
-	r.wentDown = false
-	r.leavingUntil = now.Add(leavingTimeout)
-	r.blockUntil(now.Add(probeInterval))
+func (u *upstreamState) markLeaving(now time.Time) {
+	u.halfOpen = true
+	u.probeRequired = true
+	u.wentDown = false
+	u.leavingUntil = now.Add(leavingTimeout)
+	u.blockUntil(now.Add(probeInterval))
 }
 
-func (r *upstreamState) probeDue(now time.Time) bool {
-	return r.probeRequired && !r.probeInFlight && r.usable() && !now.Before(r.blockedUntil)
+func (u *upstreamState) probeDue(now time.Time) bool {
+	return u.probeRequired && !u.probeInFlight && u.usable() && !now.Before(u.blockedUntil)
 }
 
 // recordProbe takes a probe's end into account. A runner that was leaving is taken
 // back once it was gone and answers again, or after leaveHold.
-func (r *upstreamState) recordProbe(now time.Time, alive, closing bool, jitter float64) {
-	r.probeInFlight = false
-	leaving := !r.leavingUntil.IsZero()
+func (u *upstreamState) recordProbe(now time.Time, alive, closing bool, jitter float64) {
+	u.probeInFlight = false
+	leaving := !u.leavingUntil.IsZero()
 	switch {
 	case !alive && leaving:
-		r.wentDown = true
-		r.blockUntil(now.Add(probeInterval))
+		u.wentDown = true
+		u.blockUntil(now.Add(probeInterval))
 	case !alive:
-		pause := probeInterval/2 + time.Duration(jitter*float64(probeInterval/2))
-		r.blockUntil(now.Add(pause))
+		backoff := probeInterval/2 + time.Duration(jitter*float64(probeInterval/2))
+		u.blockUntil(now.Add(backoff))
 	case closing:
-		r.markLeaving(now)
-	case leaving && !r.wentDown && now.Before(r.leavingUntil):
-		r.blockUntil(now.Add(probeInterval))
+		u.markLeaving(now)
+	case leaving && !u.wentDown && now.Before(u.leavingUntil):
+		u.blockUntil(now.Add(probeInterval))
 	default:
-		r.probeRequired = false
-		r.leavingUntil = time.Time{}
+		u.probeRequired = false
+		u.leavingUntil = time.Time{}
 	}
 }
 
 // blockUntil stops new requests until then; it never shortens an earlier blockUntil.
-func (r *upstreamState) blockUntil(until time.Time) {
-	if until.After(r.blockedUntil) {
-		r.blockedUntil = until
+func (u *upstreamState) blockUntil(until time.Time) {
+	if until.After(u.blockedUntil) {
+		u.blockedUntil = until
 	}
 }
 
@@ -195,8 +195,8 @@
 }
 
 func (f *upstreamSet) find(name string) *upstreamState {
-	i, found := slices.BinarySearchFunc(f.states, name, func(r *upstreamState, n string) int {
-		return compareNames(r.host.Name, n)
+	i, found := slices.BinarySearchFunc(f.states, name, func(u *upstreamState, n string) int {
+		return compareNames(u.host.Name, n)
 	})
 	if !found {
 		return nil
@@ -207,9 +207,9 @@
 // lowestLatencySeconds returns the smallest measured latency in seconds of a usable runner.
 func (f *upstreamSet) lowestLatencySeconds() float64 {
 	best := math.Inf(1)
-	for _, r := range f.states {
-		if r.usable() && r.samples > 0 {
-			best = min(best, r.latencySeconds)
+	for _, u := range f.states {
+		if u.usable() && u.samples > 0 {
+			best = min(best, u.latencySeconds)
 		}
 	}
 	if math.IsInf(best, 1) {
@@ -221,9 +221,9 @@
 // completionsPerSecond returns how many requests a second this host's slots complete.
 func (f *upstreamSet) completionsPerSecond(now time.Time, best float64) float64 {
 	rate := 0.0
-	for _, r := range f.states {
-		if r.usable() && (len(r.inFlight) > 0 || (!r.probeRequired && !now.Before(r.blockedUntil))) {
-			rate += float64(r.share) / max(r.expectedServiceSeconds(now, best), minLatencySeconds)
+	for _, u := range f.states {
+		if u.usable() && (len(u.inFlight) > 0 || (!u.probeRequired && !now.Before(u.blockedUntil))) {
+			rate += float64(u.share) / max(u.expectedServiceSeconds(now, best), minLatencySeconds)
 		}
 	}
 	return rate
