--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -136,9 +136,9 @@
 // in flight uses one.
 func slotShare(host kvstore.Host, f Topology) int {
 	names := f.sharingHosts(host)
-	share := Share(host.Slots, host.Name, f.Self.Name, names)
+	share := CapacityShare(host.Slots, host.Name, f.Self.Name, names)
 	if host.Connections > 0 {
-		share = min(share, Share(host.Connections, host.Name, f.Self.Name, names))
+		share = min(share, CapacityShare(host.Connections, host.Name, f.Self.Name, names))
 	}
 	return share
 }
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -80,7 +80,7 @@
 		}
 		sum := 0
 		for _, h := range hosts {
-			share := Share(limit, "u", h, hosts)
+			share := CapacityShare(limit, "u", h, hosts)
 			must.LessEq(t, limit/n+1, share)
 			sum += share
 		}
--- a/routing/router.go
+++ b/routing/router.go
@@ -161,7 +161,7 @@
 	}
 	view := r.opts.Membership.View()
 	f := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
-	return Share(host.Connections, host.Name, view.Self.Name, f.sharingHosts(host))
+	return CapacityShare(host.Connections, host.Name, view.Self.Name, f.sharingHosts(host))
 }
 
 func (r *Router) trimPools() {
