--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -100,32 +100,32 @@
 }
 
 // UpdateTopology takes a new membership or configuration into account.
-func (c *Dispatcher) UpdateTopology(now time.Time, f Topology) Decisions {
-	next := make([]*upstreamState, 0, len(f.Upstreams))
-	for _, host := range f.Upstreams {
-		u := c.upstreams.find(host.Name)
+func (d *Dispatcher) UpdateTopology(now time.Time, topology Topology) Decisions {
+	next := make([]*upstreamState, 0, len(topology.Upstreams))
+	for _, host := range topology.Upstreams {
+		u := d.upstreams.find(host.Name)
 		known := u != nil && u.host.Address == host.Address
 		if !known {
 			u = &upstreamState{inFlight: make(map[uint64]time.Time)}
 		}
 		u.host = host
-		u.local = host.FailureDomain == f.Self.FailureDomain
-		u.outOfService = f.OutOfService[host.FailureDomain]
-		u.setShare(now, slotShare(host, f), known)
+		u.local = host.FailureDomain == topology.Self.FailureDomain
+		u.outOfService = topology.OutOfService[host.FailureDomain]
+		u.setShare(now, slotShare(host, topology), known)
 		next = append(next, u)
 	}
 	slices.SortFunc(next, func(a, b *upstreamState) int { return compareNames(a.host.Name, b.host.Name) })
-	c.upstreams.states = next
-	return c.dispatchWaiting(now, Decisions{})
+	d.upstreams.states = next
+	return d.dispatchWaiting(now, Decisions{})
 }
 
 // sharingHosts returns the names of the entry hosts that share an upstream. One that
 // is silent is left out, unless it stands in the upstream's failure domain: cut
 // off from here, it may well be using the upstream.
-func (f Topology) sharingHosts(upstream kvstore.Host) []string {
+func (topology Topology) sharingHosts(upstream kvstore.Host) []string {
 	var names []string
-	for _, h := range f.EntryHosts {
-		if !f.Silent[h.Name] || h.FailureDomain == upstream.FailureDomain {
+	for _, h := range topology.EntryHosts {
+		if !topology.Silent[h.Name] || h.FailureDomain == upstream.FailureDomain {
 			names = append(names, h.Name)
 		}
 	}
@@ -134,29 +134,29 @@
 
 // slotShare bounds the slots also by the connections, of which each request
 // in flight uses one.
-func slotShare(host kvstore.Host, f Topology) int {
-	names := f.sharingHosts(host)
-	share := CapacityShare(host.Slots, host.Name, f.Self.Name, names)
+func slotShare(host kvstore.Host, topology Topology) int {
+	names := topology.sharingHosts(host)
+	share := CapacityShare(host.Slots, host.Name, topology.Self.Name, names)
 	if host.Connections > 0 {
-		share = min(share, CapacityShare(host.Connections, host.Name, f.Self.Name, names))
+		share = min(share, CapacityShare(host.Connections, host.Name, topology.Self.Name, names))
 	}
 	return share
 }
 
 // Admit reports whether a request would be taken now; it changes nothing. The
 // driver asks before it spends a claim on the request.
-func (c *Dispatcher) Admit(now time.Time, t Ticket) (ShedReason, bool) {
-	if !c.anyUsable() {
+func (d *Dispatcher) Admit(now time.Time, t Ticket) (ShedReason, bool) {
+	if !d.anyUsable() {
 		return NoUpstream, false
 	}
-	if c.queue.length == 0 {
+	if d.queue.length == 0 {
 		return "", true
 	}
-	rate := c.upstreams.completionsPerSecond(now, c.upstreams.lowestLatencySeconds())
+	rate := d.upstreams.completionsPerSecond(now, d.upstreams.lowestLatencySeconds())
 	if rate == 0 {
 		return "", true
 	}
-	requestsAhead := float64(len(c.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, c.queue.activeQueues()))
+	requestsAhead := float64(len(d.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, d.queue.activeQueues()))
 	wait := time.Duration(requestsAhead / rate * float64(time.Second))
 	if now.Add(wait).After(t.QueueDeadline) {
 		return TooLate, false
@@ -164,30 +164,30 @@
 	return "", true
 }
 
-func (c *Dispatcher) anyUsable() bool {
-	return slices.ContainsFunc(c.upstreams.states, (*upstreamState).usable)
+func (d *Dispatcher) anyUsable() bool {
+	return slices.ContainsFunc(d.upstreams.states, (*upstreamState).usable)
 }
 
 // Submit takes a request: it is sent, waits, or is shed.
-func (c *Dispatcher) Submit(now time.Time, t Ticket) Decisions {
-	var d Decisions
-	if reason, ok := c.Admit(now, t); !ok {
-		return c.shed(now, d, t.ID, reason)
+func (d *Dispatcher) Submit(now time.Time, t Ticket) Decisions {
+	var decisions Decisions
+	if reason, ok := d.Admit(now, t); !ok {
+		return d.shed(now, decisions, t.ID, reason)
 	}
 	if !t.Retry {
-		c.budget.earn()
+		d.budget.earn()
 	}
-	c.queue.push(&t)
-	d = c.dispatchWaiting(now, d)
-	for c.queue.length > c.queueLimit() {
-		d = c.shed(now, d, c.queue.dropNewestOfLongest().ID, QueueFull)
+	d.queue.push(&t)
+	decisions = d.dispatchWaiting(now, decisions)
+	for d.queue.length > d.queueLimit() {
+		decisions = d.shed(now, decisions, d.queue.dropNewestOfLongest().ID, QueueFull)
 	}
-	return d
+	return decisions
 }
 
-func (c *Dispatcher) queueLimit() int {
+func (d *Dispatcher) queueLimit() int {
 	slots := 0
-	for _, u := range c.upstreams.states {
+	for _, u := range d.upstreams.states {
 		if u.usable() {
 			slots += u.share
 		}
@@ -196,22 +196,22 @@
 }
 
 // AllowRetry reports whether the retry budget allows one more attempt.
-func (c *Dispatcher) AllowRetry() bool { return c.budget.spend() }
+func (d *Dispatcher) AllowRetry() bool { return d.budget.spend() }
 
 // Cancel takes a waiting request out; it reports whether it was still waiting.
-func (c *Dispatcher) Cancel(id uint64) bool { return c.queue.remove(id) }
+func (d *Dispatcher) Cancel(id uint64) bool { return d.queue.remove(id) }
 
 // FinishAttempt takes the end of an attempt into account.
-func (c *Dispatcher) FinishAttempt(now time.Time, rep AttemptReport) Decisions {
-	a, ok := c.attempts[rep.Ticket]
+func (d *Dispatcher) FinishAttempt(now time.Time, rep AttemptReport) Decisions {
+	a, ok := d.attempts[rep.Ticket]
 	if !ok {
 		return Decisions{}
 	}
-	delete(c.attempts, rep.Ticket)
-	c.queue.releaseSlot(a.ticket.Organisation, chargedWork(now, a.upstream, rep))
-	c.recordResult(now, a.upstream, rep)
+	delete(d.attempts, rep.Ticket)
+	d.queue.releaseSlot(a.ticket.Organisation, chargedWork(now, a.upstream, rep))
+	d.recordResult(now, a.upstream, rep)
 	delete(a.upstream.inFlight, rep.Ticket)
-	return c.dispatchWaiting(now, Decisions{})
+	return d.dispatchWaiting(now, Decisions{})
 }
 
 // chargedWork returns what a request took, in typical requests of its runner, so that
@@ -224,7 +224,7 @@
 	return min(maxWorkCharge, took/max(u.latencySeconds, minLatencySeconds))
 }
 
-func (c *Dispatcher) recordResult(now time.Time, u *upstreamState, rep AttemptReport) {
+func (d *Dispatcher) recordResult(now time.Time, u *upstreamState, rep AttemptReport) {
 	latency := now.Sub(u.inFlight[rep.Ticket])
 	switch rep.Result {
 	case Responded:
@@ -232,10 +232,10 @@
 	case ServerError:
 		u.consecutiveServerErrors++
 		if u.consecutiveServerErrors >= serverErrorLimit {
-			u.recordFailure(now, c.rng.Float64())
+			u.recordFailure(now, d.rng.Float64())
 		}
 	case Failed:
-		u.recordFailure(now, c.rng.Float64())
+		u.recordFailure(now, d.rng.Float64())
 	case Leaving:
 		u.markLeaving(now)
 	case Full:
@@ -248,9 +248,9 @@
 
 // StartProbes returns the upstreams whose connection the driver is to probe; each
 // must be followed by Probed.
-func (c *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
+func (d *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
-	for _, u := range c.upstreams.states {
+	for _, u := range d.upstreams.states {
 		if u.probeDue(now) {
 			u.probeInFlight = true
 			out = append(out, u.host)
@@ -261,93 +261,93 @@
 
 // FinishProbe takes a probe's end into account: whether the upstream answered, and
 // whether it said Connection: close.
-func (c *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
-	if u := c.upstreams.find(upstream); u != nil {
-		u.recordProbe(now, alive, closing, c.rng.Float64())
+func (d *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
+	if u := d.upstreams.find(upstream); u != nil {
+		u.recordProbe(now, alive, closing, d.rng.Float64())
 	}
-	return c.dispatchWaiting(now, Decisions{})
+	return d.dispatchWaiting(now, Decisions{})
 }
 
 // Tick sheds what has waited too long and uses slots that became free by time.
-func (c *Dispatcher) Tick(now time.Time) Decisions { return c.dispatchWaiting(now, Decisions{}) }
+func (d *Dispatcher) Tick(now time.Time) Decisions { return d.dispatchWaiting(now, Decisions{}) }
 
 // QueueLength returns the number of waiting requests.
-func (c *Dispatcher) QueueLength() int { return c.queue.length }
+func (d *Dispatcher) QueueLength() int { return d.queue.length }
 
 // dispatchWaiting sends waiting tickets to free runners.
-func (c *Dispatcher) dispatchWaiting(now time.Time, d Decisions) Decisions {
-	for _, t := range c.queue.removeExpired(now) {
-		d = c.shed(now, d, t.ID, TooLate)
+func (d *Dispatcher) dispatchWaiting(now time.Time, decisions Decisions) Decisions {
+	for _, t := range d.queue.removeExpired(now) {
+		decisions = d.shed(now, decisions, t.ID, TooLate)
 	}
-	for _, u := range c.upstreams.states {
+	for _, u := range d.upstreams.states {
 		u.applyPendingShare(now)
 	}
 	for {
-		oq := c.queue.nextQueue()
+		oq := d.queue.nextQueue()
 		if oq == nil {
-			return d
+			return decisions
 		}
-		if !c.anyUsable() {
-			d = c.shed(now, d, c.queue.dropNewestOfLongest().ID, NoUpstream)
+		if !d.anyUsable() {
+			decisions = d.shed(now, decisions, d.queue.dropNewestOfLongest().ID, NoUpstream)
 			continue
 		}
-		u := c.chooseUpstream(now, oq.waiting[0])
+		u := d.chooseUpstream(now, oq.waiting[0])
 		if u == nil {
-			return d
+			return decisions
 		}
-		d.Dispatches = append(d.Dispatches, c.dispatch(now, c.queue.pop(oq), u))
+		decisions.Dispatches = append(decisions.Dispatches, d.dispatch(now, d.queue.pop(oq), u))
 	}
 }
 
-func (c *Dispatcher) dispatch(now time.Time, t *Ticket, u *upstreamState) Dispatch {
+func (d *Dispatcher) dispatch(now time.Time, t *Ticket, u *upstreamState) Dispatch {
 	u.inFlight[t.ID] = now
-	c.attempts[t.ID] = attempt{ticket: t, upstream: u}
+	d.attempts[t.ID] = attempt{ticket: t, upstream: u}
 	timeout := time.Duration(attemptTimeoutFactor * u.latencySeconds * float64(time.Second))
 	return Dispatch{Ticket: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
 }
 
-func (c *Dispatcher) shed(now time.Time, d Decisions, id uint64, reason ShedReason) Decisions {
+func (d *Dispatcher) shed(now time.Time, decisions Decisions, id uint64, reason ShedReason) Decisions {
 	if reason != NoUpstream {
-		c.lastShed = now
+		d.lastShed = now
 	}
-	d.Sheds = append(d.Sheds, Shed{Ticket: id, Reason: reason})
-	return d
+	decisions.Sheds = append(decisions.Sheds, Shed{Ticket: id, Reason: reason})
+	return decisions
 }
 
 // chooseUpstream returns the runner for a ticket: the free one with the smallest cost,
 // unless waiting for a faster one that is busy is expected to end sooner. It
 // returns nil when the ticket is to wait.
-func (c *Dispatcher) chooseUpstream(now time.Time, t *Ticket) *upstreamState {
-	best := c.upstreams.lowestLatencySeconds()
-	chosen := c.cheapestAvailable(now, best, t.AvoidUpstreams)
+func (d *Dispatcher) chooseUpstream(now time.Time, t *Ticket) *upstreamState {
+	lowestLatency := d.upstreams.lowestLatencySeconds()
+	chosen := d.cheapestAvailable(now, lowestLatency, t.AvoidUpstreams)
 	if chosen == nil && len(t.AvoidUpstreams) > 0 {
-		chosen = c.cheapestAvailable(now, best, nil)
+		chosen = d.cheapestAvailable(now, lowestLatency, nil)
 	}
 	if chosen == nil {
 		return nil
 	}
-	overloaded := now.Sub(c.lastShed) < overloadWindow && !c.lastShed.IsZero()
-	if !overloaded && c.waitingIsFaster(now, best, chosen.expectedSeconds(now, best)) {
+	overloaded := now.Sub(d.lastShed) < overloadWindow && !d.lastShed.IsZero()
+	if !overloaded && d.waitingIsFaster(now, lowestLatency, chosen.expectedSeconds(now, lowestLatency)) {
 		return nil
 	}
 	return chosen
 }
 
-func (c *Dispatcher) cheapestAvailable(now time.Time, best float64, avoid []string) *upstreamState {
+func (d *Dispatcher) cheapestAvailable(now time.Time, lowestLatency float64, avoid []string) *upstreamState {
 	var chosen *upstreamState
 	lowest := math.Inf(1)
 	ties := 0
-	for _, u := range c.upstreams.states {
+	for _, u := range d.upstreams.states {
 		if !u.available(now) || slices.Contains(avoid, u.host.Name) {
 			continue
 		}
-		cost := u.cost(now, best)
+		cost := u.cost(now, lowestLatency)
 		switch {
 		case cost < lowest:
 			chosen, lowest, ties = u, cost, 1
 		case cost == lowest:
 			ties++
-			if c.rng.Intn(ties) == 0 {
+			if d.rng.Intn(ties) == 0 {
 				chosen = u
 			}
 		}
@@ -358,15 +358,15 @@
 // waitingIsFaster compares a free runner of the given duration with waiting
 // for one of the busy faster runners. Everybody in the queue waits for those,
 // so the longer the queue, the slower a runner is still worth using.
-func (c *Dispatcher) waitingIsFaster(now time.Time, best, duration float64) bool {
+func (d *Dispatcher) waitingIsFaster(now time.Time, lowestLatency, candidateSeconds float64) bool {
 	rate, sum, busy := 0.0, 0.0, 0
-	for _, u := range c.upstreams.states {
+	for _, u := range d.upstreams.states {
 		n := len(u.inFlight)
 		if n == 0 || u.samples == 0 || !u.usable() || now.Before(u.blockedUntil) {
 			continue
 		}
-		other := u.expectedSeconds(now, best)
-		if other >= duration {
+		other := u.expectedSeconds(now, lowestLatency)
+		if other >= candidateSeconds {
 			continue
 		}
 		rate += float64(n) / max(other, minLatencySeconds)
@@ -376,6 +376,6 @@
 	if busy == 0 {
 		return false
 	}
-	wait := float64(c.queue.length) / rate
-	return wait+sum/float64(busy) < duration
+	wait := float64(d.queue.length) / rate
+	return wait+sum/float64(busy) < candidateSeconds
 }
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -61,14 +61,14 @@
 	for attempts := 1; ; attempts++ {
 		t := r.newTicket(c)
 		t.AvoidUpstreams, t.Retry = avoid, attempts > 1
-		g, err := s.acquireSlot(ctx, r.opts.Now, t)
+		granted, err := s.acquireSlot(ctx, r.opts.Now, t)
 		if err != nil {
 			return failedResult(outcome, apierr.New(apierr.Unavailable, "the caller went away", ""))
 		}
-		if g.shedReason != "" {
-			return r.resultWithoutResponse(outcome, errShed(g.shedReason))
+		if granted.shedReason != "" {
+			return r.resultWithoutResponse(outcome, errShed(granted.shedReason))
 		}
-		x := r.sendOnce(ctx, c, g.dispatch)
+		x := r.sendOnce(ctx, c, granted.dispatch)
 		rep := x.report()
 		rep.Ticket = t.ID
 		_, refused := refusalOf(x)
@@ -86,7 +86,7 @@
 			return r.resultWithoutResponse(outcome, errUnreachable())
 		}
 		r.metrics.retries.Inc()
-		avoid = append(avoid, g.dispatch.Upstream.Name)
+		avoid = append(avoid, granted.dispatch.Upstream.Name)
 	}
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -160,8 +160,8 @@
 		return 0
 	}
 	view := r.opts.Membership.View()
-	f := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
-	return CapacityShare(host.Connections, host.Name, view.Self.Name, f.sharingHosts(host))
+	topology := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
+	return CapacityShare(host.Connections, host.Name, view.Self.Name, topology.sharingHosts(host))
 }
 
 func (r *Router) trimPools() {
--- a/routing/service_dispatcher.go
+++ b/routing/service_dispatcher.go
@@ -48,7 +48,7 @@
 }
 
 func newTopology(name string, view *membership.View, snap *config.Snapshot) Topology {
-	f := Topology{
+	topology := Topology{
 		Self:         view.Self,
 		EntryHosts:   entryHosts(view),
 		Silent:       view.Silent,
@@ -56,9 +56,9 @@
 		OutOfService: make(map[string]bool),
 	}
 	for _, d := range snap.FailureDomains {
-		f.OutOfService[d.Name] = d.Out
+		topology.OutOfService[d.Name] = d.Out
 	}
-	return f
+	return topology
 }
 
 // entryHosts returns the known entry hosts, this one included.
@@ -84,8 +84,8 @@
 	s.deliver(s.dispatcher.Submit(now(), t))
 	s.mu.Unlock()
 	select {
-	case g := <-ch:
-		return g, nil
+	case result := <-ch:
+		return result, nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
@@ -94,7 +94,7 @@
 		delete(s.waiters, t.ID)
 		return decision{}, ctx.Err()
 	}
-	if g := <-ch; g.shedReason == "" {
+	if result := <-ch; result.shedReason == "" {
 		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
 	}
 	return decision{}, ctx.Err()
--- a/routing/upstream.go
+++ b/routing/upstream.go
@@ -84,16 +84,16 @@
 // smallest estimate of the service; it stands in for a runner never tried, and
 // an estimate that has gone unused drifts back towards it, so that a runner
 // that has recovered is found again.
-func (u *upstreamState) expectedServiceSeconds(now time.Time, best float64) float64 {
+func (u *upstreamState) expectedServiceSeconds(now time.Time, lowestLatency float64) float64 {
 	if u.samples == 0 {
-		return best
+		return lowestLatency
 	}
 	idle := now.Sub(u.measuredAt).Seconds()
 	if len(u.inFlight) > 0 {
 		idle = 0
 	}
 	decay := math.Exp2(-idle / latencyExcessHalfLife.Seconds())
-	estimate := best + max(0, u.latencySeconds-best)*decay
+	estimate := lowestLatency + max(0, u.latencySeconds-lowestLatency)*decay
 	return max(estimate, u.oldestInFlightSeconds(now))
 }
 
@@ -106,8 +106,8 @@
 }
 
 // expectedSeconds is the expected time as the caller sees it, in seconds.
-func (u *upstreamState) expectedSeconds(now time.Time, best float64) float64 {
-	expected := u.expectedServiceSeconds(now, best)
+func (u *upstreamState) expectedSeconds(now time.Time, lowestLatency float64) float64 {
+	expected := u.expectedServiceSeconds(now, lowestLatency)
 	if u.local {
 		return expected
 	}
@@ -115,11 +115,11 @@
 }
 
 // cost is the duration with the preference for the local failure domain.
-func (u *upstreamState) cost(now time.Time, best float64) float64 {
+func (u *upstreamState) cost(now time.Time, lowestLatency float64) float64 {
 	if u.local {
-		return u.expectedSeconds(now, best)
+		return u.expectedSeconds(now, lowestLatency)
 	}
-	return u.expectedSeconds(now, best) * remoteCostFactor
+	return u.expectedSeconds(now, lowestLatency) * remoteCostFactor
 }
 
 func (u *upstreamState) recordSuccess(now time.Time, latency time.Duration) {
@@ -194,20 +194,20 @@
 	states []*upstreamState // ordered by name
 }
 
-func (f *upstreamSet) find(name string) *upstreamState {
-	i, found := slices.BinarySearchFunc(f.states, name, func(u *upstreamState, n string) int {
+func (s *upstreamSet) find(name string) *upstreamState {
+	i, found := slices.BinarySearchFunc(s.states, name, func(u *upstreamState, n string) int {
 		return compareNames(u.host.Name, n)
 	})
 	if !found {
 		return nil
 	}
-	return f.states[i]
+	return s.states[i]
 }
 
 // lowestLatencySeconds returns the smallest measured latency in seconds of a usable runner.
-func (f *upstreamSet) lowestLatencySeconds() float64 {
+func (s *upstreamSet) lowestLatencySeconds() float64 {
 	best := math.Inf(1)
-	for _, u := range f.states {
+	for _, u := range s.states {
 		if u.usable() && u.samples > 0 {
 			best = min(best, u.latencySeconds)
 		}
@@ -219,11 +219,11 @@
 }
 
 // completionsPerSecond returns how many requests a second this host's slots complete.
-func (f *upstreamSet) completionsPerSecond(now time.Time, best float64) float64 {
+func (s *upstreamSet) completionsPerSecond(now time.Time, lowestLatency float64) float64 {
 	rate := 0.0
-	for _, u := range f.states {
+	for _, u := range s.states {
 		if u.usable() && (len(u.inFlight) > 0 || (!u.probeRequired && !now.Before(u.blockedUntil))) {
-			rate += float64(u.share) / max(u.expectedServiceSeconds(now, best), minLatencySeconds)
+			rate += float64(u.share) / max(u.expectedServiceSeconds(now, lowestLatency), minLatencySeconds)
 		}
 	}
 	return rate
