--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -10,96 +10,102 @@
 )
 
 const (
-	queueLimitPerSlot    = 4    // waiting tickets for each slot of this host
-	minQueueLimit        = 32   // waiting tickets that are always allowed
-	maxWorkCharge        = 20   // typical requests that one is charged at most
-	minLatencySeconds    = 1e-5 // seconds; keeps rates finite
-	overloadWindow       = time.Second
-	attemptTimeoutFactor = 10 // times the expected latency before an idempotent attempt is given up
+	queueLimitPerSlot    = 4           // queued tickets allowed for each slot of this host
+	minQueueLimit        = 32          // queued tickets that are always allowed
+	maxWorkCharge        = 20          // typical requests; most that one request is charged
+	minLatencySeconds    = 1e-5        // keeps rates finite
+	overloadWindow       = time.Second // the service counts as overloaded for this long after a shed
+	attemptTimeoutFactor = 10          // times the average latency before an idempotent attempt times out
 	minAttemptTimeout    = time.Second
 )
 
-// Topology is what membership and configuration say about one service.
+// Topology is the membership and configuration of one service, as seen by one
+// entry host.
 type Topology struct {
 	Self         kvstore.Host    // this entry host
 	EntryHosts   []kvstore.Host  // the known entry hosts, this one included
-	Silent       map[string]bool // entry hosts that are not heard at present
+	Silent       map[string]bool // entry hosts whose heartbeats are missing at present
 	Upstreams    []kvstore.Host  // the service's upstreams
-	OutOfService map[string]bool // failure domains taken out
+	OutOfService map[string]bool // failure domains taken out of service
 }
 
-// AttemptResult says how an attempt ended, as far as the choice of runners goes.
+// AttemptResult tells how an attempt ended, as far as the choice of upstreams
+// depends on it.
 type AttemptResult int
 
-// The results of an attempt.
+// Results of an attempt.
 const (
-	Responded   AttemptResult = iota // a whole answer
-	ServerError                      // a whole answer with a 5xx status
-	Failed                           // no connection, or no whole answer
-	Leaving                          // the upstream said that it is leaving
-	Full                             // the upstream said that it is full
-	Unused                           // the slot was given back without a request
+	Responded   AttemptResult = iota // a complete response with a status below 500
+	ServerError                      // a complete response with a 5xx status
+	Failed                           // no connection, or no complete response
+	Leaving                          // the upstream refused the request because it is leaving
+	Full                             // the upstream refused the request because it is full
+	Unused                           // the slot was given back and no request was sent
 )
 
-// AttemptReport tells the core that an attempt has ended.
+// AttemptReport tells the dispatcher how an attempt ended.
 type AttemptReport struct {
 	Ticket          uint64
 	Result          AttemptResult
-	ConnectionClose bool // the answer carried Connection: close
+	ConnectionClose bool // the response carried Connection: close
 }
 
-// Dispatch sends a ticket to an upstream.
+// Dispatch is the decision to send a ticket to an upstream.
 type Dispatch struct {
 	Ticket         uint64
 	Upstream       kvstore.Host
-	AttemptTimeout time.Duration // an idempotent attempt is given up after this
+	AttemptTimeout time.Duration // applies to idempotent requests only
 }
 
-// ShedReason says why a ticket is refused without having run.
+// ShedReason tells why a ticket was shed. It is part of the error message that
+// the caller gets.
 type ShedReason string
 
-// The reasons.
+// Reasons for shedding a ticket.
 const (
 	NoUpstream ShedReason = "no upstream of the service is available"
-	QueueFull  ShedReason = "too many requests wait"
+	QueueFull  ShedReason = "too many requests are queued"
 	TooLate    ShedReason = "the request would not finish in time"
 )
 
-// Shed refuses a ticket that was never sent.
+// Shed is the decision to refuse a ticket that was not dispatched.
 type Shed struct {
 	Ticket uint64
 	Reason ShedReason
 }
 
-// Decisions are what the driver carries out.
+// Decisions are the dispatches and sheds that the caller of a Dispatcher must
+// carry out.
 type Decisions struct {
 	Dispatches []Dispatch
 	Sheds      []Shed
 }
 
+// attempt is a dispatched ticket that is not finished yet.
 type attempt struct {
 	ticket   *Ticket
 	upstream *upstreamState
 }
 
-// Dispatcher decides for one service on one entry host which request goes to which
-// runner. It is pure: time and randomness are passed in. It is not safe for
-// concurrent use.
+// Dispatcher decides for one service on one entry host which request goes to
+// which upstream. It does no I/O and is deterministic: time and randomness are
+// passed in. It is not safe for concurrent use.
 type Dispatcher struct {
 	rng       *rand.Rand
 	upstreams upstreamSet
 	queue     fairQueue
 	budget    retryBudget
-	attempts  map[uint64]attempt
+	attempts  map[uint64]attempt // by ticket ID
 	lastShed  time.Time
 }
 
-// NewDispatcher returns a core without runners.
+// NewDispatcher returns a dispatcher without upstreams.
 func NewDispatcher(rng *rand.Rand) *Dispatcher {
 	return &Dispatcher{rng: rng, budget: newRetryBudget(), attempts: make(map[uint64]attempt)}
 }
 
-// UpdateTopology takes a new membership or configuration into account.
+// UpdateTopology replaces the topology. An upstream whose name and address stay
+// the same keeps its statistics and its requests in flight.
 func (d *Dispatcher) UpdateTopology(now time.Time, topology Topology) Decisions {
 	next := make([]*upstreamState, 0, len(topology.Upstreams))
 	for _, host := range topology.Upstreams {
@@ -119,9 +125,9 @@
 	return d.dispatchWaiting(now, Decisions{})
 }
 
-// sharingHosts returns the names of the entry hosts that share an upstream. One that
-// is silent is left out, unless it stands in the upstream's failure domain: cut
-// off from here, it may well be using the upstream.
+// sharingHosts returns the names of the entry hosts that share an upstream.
+// Silent hosts are left out, except those in the upstream's failure domain:
+// behind a network partition, they may still be using the upstream.
 func (topology Topology) sharingHosts(upstream kvstore.Host) []string {
 	var names []string
 	for _, h := range topology.EntryHosts {
@@ -132,8 +138,8 @@
 	return names
 }
 
-// slotShare bounds the slots also by the connections, of which each request
-// in flight uses one.
+// slotShare returns this host's share of an upstream's slots. It is limited by
+// the share of connections too, since each request in flight uses one.
 func slotShare(host kvstore.Host, topology Topology) int {
 	names := topology.sharingHosts(host)
 	share := CapacityShare(host.Slots, host.Name, topology.Self.Name, names)
@@ -143,8 +149,9 @@
 	return share
 }
 
-// Admit reports whether a request would be taken now; it changes nothing. The
-// driver asks before it spends a claim on the request.
+// Admit reports whether a request would be accepted now, and otherwise why not.
+// It enqueues nothing. Requests with an idempotency key are checked with it
+// before their key is claimed.
 func (d *Dispatcher) Admit(now time.Time, t Ticket) (ShedReason, bool) {
 	if !d.anyUsable() {
 		return NoUpstream, false
@@ -168,7 +175,7 @@
 	return slices.ContainsFunc(d.upstreams.states, (*upstreamState).usable)
 }
 
-// Submit takes a request: it is sent, waits, or is shed.
+// Submit enqueues a request; it is dispatched at once, left waiting, or shed.
 func (d *Dispatcher) Submit(now time.Time, t Ticket) Decisions {
 	var decisions Decisions
 	if reason, ok := d.Admit(now, t); !ok {
@@ -195,13 +202,14 @@
 	return max(minQueueLimit, queueLimitPerSlot*slots)
 }
 
-// AllowRetry reports whether the retry budget allows one more attempt.
+// AllowRetry takes a token for one retry from the retry budget; it reports false
+// when there is none.
 func (d *Dispatcher) AllowRetry() bool { return d.budget.spend() }
 
-// Cancel takes a waiting request out; it reports whether it was still waiting.
+// Cancel removes a request from the queue; it reports whether it was still queued.
 func (d *Dispatcher) Cancel(id uint64) bool { return d.queue.remove(id) }
 
-// FinishAttempt takes the end of an attempt into account.
+// FinishAttempt frees the slot of an attempt and records its result.
 func (d *Dispatcher) FinishAttempt(now time.Time, rep AttemptReport) Decisions {
 	a, ok := d.attempts[rep.Ticket]
 	if !ok {
@@ -214,8 +222,8 @@
 	return d.dispatchWaiting(now, Decisions{})
 }
 
-// chargedWork returns what a request took, in typical requests of its runner, so that
-// the runner's speed does not count.
+// chargedWork returns the work that a request is charged, in typical requests of
+// its upstream, so that it does not depend on the upstream's speed.
 func chargedWork(now time.Time, u *upstreamState, rep AttemptReport) float64 {
 	if rep.Result != Responded || u.samples == 0 {
 		return 1
@@ -246,8 +254,8 @@
 	}
 }
 
-// StartProbes returns the upstreams whose connection the driver is to probe; each
-// must be followed by Probed.
+// StartProbes returns the upstreams that the caller must probe. For each of them
+// it must call FinishProbe.
 func (d *Dispatcher) StartProbes(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
 	for _, u := range d.upstreams.states {
@@ -259,8 +267,8 @@
 	return out
 }
 
-// FinishProbe takes a probe's end into account: whether the upstream answered, and
-// whether it said Connection: close.
+// FinishProbe records the result of a probe: whether the upstream responded, and
+// whether it closes the connection or is unavailable (Connection: close, or 503).
 func (d *Dispatcher) FinishProbe(now time.Time, upstream string, alive, closing bool) Decisions {
 	if u := d.upstreams.find(upstream); u != nil {
 		u.recordProbe(now, alive, closing, d.rng.Float64())
@@ -268,13 +276,15 @@
 	return d.dispatchWaiting(now, Decisions{})
 }
 
-// Tick sheds what has waited too long and uses slots that became free by time.
+// Tick sheds requests that have reached their queue deadline and uses slots that
+// have become available through the passage of time.
 func (d *Dispatcher) Tick(now time.Time) Decisions { return d.dispatchWaiting(now, Decisions{}) }
 
-// QueueLength returns the number of waiting requests.
+// QueueLength returns the number of queued requests.
 func (d *Dispatcher) QueueLength() int { return d.queue.length }
 
-// dispatchWaiting sends waiting tickets to free runners.
+// dispatchWaiting sheds expired tickets and dispatches queued ones to available
+// upstreams. It returns decisions with its own appended.
 func (d *Dispatcher) dispatchWaiting(now time.Time, decisions Decisions) Decisions {
 	for _, t := range d.queue.removeExpired(now) {
 		decisions = d.shed(now, decisions, t.ID, TooLate)
@@ -306,6 +316,8 @@
 	return Dispatch{Ticket: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
 }
 
+// shed returns decisions with the shed of a ticket appended. A shed for want of
+// upstreams is no sign of overload.
 func (d *Dispatcher) shed(now time.Time, decisions Decisions, id uint64, reason ShedReason) Decisions {
 	if reason != NoUpstream {
 		d.lastShed = now
@@ -314,9 +326,11 @@
 	return decisions
 }
 
-// chooseUpstream returns the runner for a ticket: the free one with the smallest cost,
-// unless waiting for a faster one that is busy is expected to end sooner. It
-// returns nil when the ticket is to wait.
+// chooseUpstream returns the available upstream with the lowest cost, or nil when
+// the ticket must wait: no upstream is available, or waiting for a faster busy
+// one is expected to finish sooner. Under overload the available upstream is
+// used without that comparison. Upstreams on which an earlier attempt failed are
+// used only when no other is available.
 func (d *Dispatcher) chooseUpstream(now time.Time, t *Ticket) *upstreamState {
 	lowestLatency := d.upstreams.lowestLatencySeconds()
 	chosen := d.cheapestAvailable(now, lowestLatency, t.AvoidUpstreams)
@@ -333,6 +347,8 @@
 	return chosen
 }
 
+// cheapestAvailable returns the available upstream with the lowest cost that is
+// not in avoid, or nil. Ties are broken at random.
 func (d *Dispatcher) cheapestAvailable(now time.Time, lowestLatency float64, avoid []string) *upstreamState {
 	var chosen *upstreamState
 	lowest := math.Inf(1)
@@ -355,9 +371,10 @@
 	return chosen
 }
 
-// waitingIsFaster compares a free runner of the given duration with waiting
-// for one of the busy faster runners. Everybody in the queue waits for those,
-// so the longer the queue, the slower a runner is still worth using.
+// waitingIsFaster reports whether waiting for one of the busy faster upstreams is
+// expected to finish sooner than using the candidate, an available upstream that
+// takes candidateSeconds. All queued requests wait for the faster ones, so the
+// longer the queue, the slower an upstream may be and still be worth using.
 func (d *Dispatcher) waitingIsFaster(now time.Time, lowestLatency, candidateSeconds float64) bool {
 	rate, sum, busy := 0.0, 0.0, 0
 	for _, u := range d.upstreams.states {
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -6,38 +6,41 @@
 	"time"
 )
 
-// Ticket is a request that waits for, or uses, an upstream's slot.
+// Ticket is one attempt of a request that waits for a slot of an upstream or
+// uses one.
 type Ticket struct {
 	ID             uint64
 	Organisation   string
-	QueueDeadline  time.Time // sheds the request when it still waits then
-	Deadline       time.Time // end of the request
+	QueueDeadline  time.Time // the ticket is shed when it is still queued then
+	Deadline       time.Time // of the whole request
 	AvoidUpstreams []string  // upstreams on which an earlier attempt failed
-	Retry          bool      // a later attempt: it goes before first attempts
+	Retry          bool      // not the first attempt; queued before first attempts
 }
 
-// organisationQueue is one organisation's queue and its use of slots.
+// organisationQueue holds one organisation's queued tickets and its use of slots.
 type organisationQueue struct {
 	organisation string
-	waiting      []*Ticket // first come first
+	waiting      []*Ticket // next to be dispatched first
 	inFlight     int
-	work         float64 // work done and begun, in typical requests
-	lastDispatch uint64  // sequence number of its last dispatch
+	work         float64 // charged for finished and running requests, in typical requests
+	lastDispatch uint64  // value of fairQueue.dispatches at its last dispatch
 }
 
-// active reports whether the organisation waits or uses slots.
+// active reports whether the organisation has queued tickets or uses slots.
 func (oq *organisationQueue) active() bool { return oq.inFlight > 0 || len(oq.waiting) > 0 }
 
-// fairQueue holds waiting tickets and picks the organisation that has used the
-// least work, so that each gets an equal share when all want more. Time on a
-// slot would not do: the organisation whose request ends on a fast runner would
-// get that runner's slot again.
+// fairQueue does fair queueing between organisations: the next ticket is taken
+// from the organisation that was charged the least work, so that each gets an
+// equal share under overload. Slot time is not used as the measure, because an
+// organisation whose request finished on a fast upstream would then get that
+// upstream's slot again.
 type fairQueue struct {
 	queues     []*organisationQueue // ordered by organisation
-	length     int
-	dispatches uint64
+	length     int                  // tickets in all queues
+	dispatches uint64               // tickets dispatched so far
 }
 
+// queueOf returns the organisation's queue; it creates one if there is none.
 func (q *fairQueue) queueOf(organisation string) *organisationQueue {
 	i, found := slices.BinarySearchFunc(q.queues, organisation, func(oq *organisationQueue, name string) int {
 		return compareNames(oq.organisation, name)
@@ -48,6 +51,8 @@
 	return q.queues[i]
 }
 
+// push enqueues a ticket: a retry at the front, a first attempt at the back of
+// its organisation's queue.
 func (q *fairQueue) push(t *Ticket) {
 	oq := q.queueOf(t.Organisation)
 	if !oq.active() {
@@ -61,7 +66,7 @@
 	q.length++
 }
 
-// nextQueue returns the line whose first ticket is to be served nextQueue, or nil.
+// nextQueue returns the queue whose first ticket is to be dispatched next, or nil.
 func (q *fairQueue) nextQueue() *organisationQueue {
 	var best *organisationQueue
 	for _, oq := range q.queues {
@@ -75,8 +80,9 @@
 	return best
 }
 
-// leastWork returns the smallest use of an active organisation. One that comes
-// back from idling starts there and has saved nothing up.
+// leastWork returns the least work charged to an active organisation, or 0. An
+// organisation that becomes active is charged at least that much, so that it
+// gains no credit by being idle.
 func (q *fairQueue) leastWork() float64 {
 	least := math.Inf(1)
 	for _, oq := range q.queues {
@@ -90,6 +96,7 @@
 	return least
 }
 
+// servedBefore orders queues by work; equal ones by the earlier last dispatch.
 func servedBefore(a, b *organisationQueue) bool {
 	if a.work != b.work {
 		return a.work < b.work
@@ -97,7 +104,8 @@
 	return a.lastDispatch < b.lastDispatch
 }
 
-// pop takes the first ticket of l and counts it as using a slot.
+// pop removes the first ticket of oq and charges its organisation one slot and
+// one typical request.
 func (q *fairQueue) pop(oq *organisationQueue) *Ticket {
 	t := oq.waiting[0]
 	oq.waiting = slices.Delete(oq.waiting, 0, 1)
@@ -109,15 +117,15 @@
 	return t
 }
 
-// releaseSlot ends a ticket's use of a slot. work is what it took, in typical
-// requests; one was charged when it began.
+// releaseSlot ends a ticket's use of a slot and corrects the charge: work is the
+// actual work in typical requests, of which pop charged one.
 func (q *fairQueue) releaseSlot(organisation string, work float64) {
 	oq := q.queueOf(organisation)
 	oq.inFlight--
 	oq.work += work - 1
 }
 
-// dropNewestOfLongest removes the newest first attempt of the longest line.
+// dropNewestOfLongest removes and returns the last ticket of the longest queue.
 func (q *fairQueue) dropNewestOfLongest() *Ticket {
 	var longest *organisationQueue
 	for _, oq := range q.queues {
@@ -132,7 +140,7 @@
 	return t
 }
 
-// remove takes a waiting ticket out; it reports whether it was there.
+// remove removes a ticket; it reports whether it was queued.
 func (q *fairQueue) remove(id uint64) bool {
 	for _, oq := range q.queues {
 		for i, t := range oq.waiting {
@@ -146,7 +154,8 @@
 	return false
 }
 
-// removeExpired removes and returns the tickets that have waited too long.
+// removeExpired removes and returns the tickets that have reached their queue
+// deadline.
 func (q *fairQueue) removeExpired(now time.Time) []*Ticket {
 	var out []*Ticket
 	for _, oq := range q.queues {
@@ -162,7 +171,7 @@
 	return out
 }
 
-// activeQueues counts the organisations that wait or use slots.
+// activeQueues returns the number of active organisations.
 func (q *fairQueue) activeQueues() int {
 	n := 0
 	for _, oq := range q.queues {
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,6 +1,10 @@
-// Package routing carries short requests from callers to the upstreams of a
-// service. Its core decides which upstream takes which request, and when a
-// request waits or is refused; a thin driver does the I/O.
+// Package routing forwards short HTTP requests from callers to the upstreams of
+// a service. A Dispatcher for each service decides which upstream gets which
+// request and when a request is queued or shed; it does no I/O. The Router,
+// which an entry host mounts on its HTTP server and runs in the background,
+// does the I/O and holds in memory the queues, the state of each upstream and
+// the pools of idle connections. Nothing is stored; idempotency keys are
+// recorded by the Claims that the entry host passes in.
 package routing
 
 import (
@@ -22,30 +26,31 @@
 )
 
 const (
-	tickInterval      = 50 * time.Millisecond
+	tickInterval      = 50 * time.Millisecond // between runs of the queue time-outs and probes
 	poolTrimInterval  = time.Second
-	drainPollInterval = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond // between checks for requests in flight
 )
 
-// Options are what a Router needs.
+// Options configures a Router.
 type Options struct {
 	Now        func() time.Time // nil: time.Now
-	Seed       int64            // of the choice among equal upstreams; 0: by the clock
-	Logger     *log.Logger      // nil: nothing is logged
-	Metrics    *metrics.Set     // nil: none are kept
+	Seed       int64            // of the random numbers for tie-breaks and backoff jitter; 0: a random seed
+	Logger     *log.Logger      // nil: logging is off
+	Metrics    *metrics.Set     // nil: no metrics are exported
 	Membership membership.Source
 	Config     config.Source
 	Claims     Claims        // nil: requests with an idempotency key are refused
-	DrainDelay time.Duration // how long the balancer needs to see that the host is not ready
+	DrainDelay time.Duration // time the load balancer needs to notice that the host is not ready
 }
 
-// Router serves callers' requests. It is safe for concurrent use.
+// Router serves callers' requests by forwarding them to upstreams. It is safe
+// for concurrent use.
 type Router struct {
 	opts         Options
 	metrics      *routerMetrics
 	lastTicketID atomic.Uint64
 	inFlight     atomic.Int64
-	bodyBytes    atomic.Int64 // bytes of bodies in memory
+	bodyBytes    atomic.Int64 // reserved for the request bodies held in memory
 	draining     atomic.Bool
 
 	mu       sync.Mutex
@@ -53,8 +58,9 @@
 	pools    map[string]*pool // by address
 }
 
-// New returns a router. Run must be running for it to shed, probe and refresh
-// on time.
+// New returns a router. While Run is not running, queued requests do not time
+// out, failed upstreams are not probed, and changes of membership and
+// configuration take effect only with the next request.
 func New(o Options) *Router {
 	o.Now = defaults.Now(o.Now)
 	if o.Seed == 0 {
@@ -67,15 +73,16 @@
 	return r
 }
 
-// Register adds the router's calls to mux.
+// Register adds the router's HTTP handlers to mux.
 func (r *Router) Register(mux *http.ServeMux) {
 	mux.HandleFunc("/v1/services/{service}/requests/{path...}", r.serveRequest)
 	mux.HandleFunc("GET /v1/services/{service}/outcomes/{key}", r.serveOutcome)
 }
 
 // Run does the router's background work until ctx ends: it sheds requests that
-// have waited too long, follows membership and configuration, and probes
-// upstreams that failed.
+// have reached their queue deadline, applies changes of membership and
+// configuration, probes upstreams that failed or are leaving, and closes
+// connections that have been idle too long.
 func (r *Router) Run(ctx context.Context) error {
 	var probes sync.WaitGroup
 	defer r.closeIdleConnections()
@@ -100,6 +107,7 @@
 	}
 }
 
+// tick refreshes and ticks every service and starts the probes that are due.
 func (r *Router) tick(ctx context.Context, now time.Time, probes *sync.WaitGroup) {
 	for _, s := range r.allServices() {
 		r.refreshService(s)
@@ -129,8 +137,8 @@
 	return out
 }
 
-// serviceFor returns the driver of a serviceFor's core, with membership and
-// configuration as of now.
+// serviceFor returns the dispatcher of the named service, refreshed with the
+// current membership and configuration. It creates one on first use.
 func (r *Router) serviceFor(name string) *serviceDispatcher {
 	r.mu.Lock()
 	s := r.services[name]
@@ -154,7 +162,8 @@
 	return p
 }
 
-// connectionLimit is this host's share of an upstream's connections; 0: none is set.
+// connectionLimit returns this host's share of an upstream's connection limit;
+// 0 is treated as no limit.
 func (r *Router) connectionLimit(host kvstore.Host) int {
 	if host.Connections == 0 {
 		return 0
@@ -164,6 +173,8 @@
 	return CapacityShare(host.Connections, host.Name, view.Self.Name, topology.sharingHosts(host))
 }
 
+// trimPools closes expired idle connections and drops the empty pools of
+// upstreams that are no longer members.
 func (r *Router) trimPools() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,14 +198,14 @@
 	}
 }
 
-// Draining reports whether Drain was called: the host is not ready then.
+// Draining reports whether Drain was called, in which case the host is not ready.
 func (r *Router) Draining() bool { return r.draining.Load() }
 
-// Drain makes the host not ready, keeps serving for DrainDelay and longer, and
-// returns once no request is in flight. It cuts off nothing: requests that
-// still arrive are served, and their callers are told to close their
-// connections. Shut the HTTP server down gracefully after it, so that the last
-// answers are flushed. It returns ctx's error when ctx ends first.
+// Drain marks the host as not ready, waits for DrainDelay and then until no
+// request is in flight. It interrupts no request: requests that still arrive
+// are served, and their responses carry Connection: close. Shut the HTTP server
+// down gracefully after Drain, so that the last responses are flushed. Drain
+// returns ctx's error when ctx ends first.
 func (r *Router) Drain(ctx context.Context) error {
 	r.draining.Store(true)
 	if !pause.For(ctx, r.opts.DrainDelay) {
--- a/routing/service_dispatcher.go
+++ b/routing/service_dispatcher.go
@@ -11,19 +11,20 @@
 	"github.com/cyclamentray/cyclamentray/membership"
 )
 
-// decision is the core's decision on one ticket.
+// decision is the dispatcher's decision on one ticket: a dispatch, or a shed.
 type decision struct {
 	dispatch   Dispatch
-	shedReason ShedReason // not empty: refused
+	shedReason ShedReason // not empty: the ticket was shed
 }
 
-// serviceDispatcher drives the core of one serviceDispatcher. It is safe for concurrent use.
+// serviceDispatcher makes the Dispatcher of one service safe for concurrent use
+// and delivers its decisions to the goroutines that wait for them.
 type serviceDispatcher struct {
 	name string
 
 	mu         sync.Mutex
 	dispatcher *Dispatcher
-	waiters    map[uint64]chan decision
+	waiters    map[uint64]chan decision // by ticket ID
 	view       *membership.View
 	snapshot   *config.Snapshot
 }
@@ -36,7 +37,7 @@
 	}
 }
 
-// refresh passes a new view or snapshot to the core.
+// refresh passes a changed view or snapshot to the dispatcher.
 func (s *serviceDispatcher) refresh(now time.Time, view *membership.View, snap *config.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,14 +70,15 @@
 	return append(others, view.Self)
 }
 
-// admit reports whether a request would be taken now.
+// admit reports whether a request would be accepted now, and otherwise why not.
 func (s *serviceDispatcher) admit(now time.Time, t Ticket) (ShedReason, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatcher.Admit(now, t)
 }
 
-// acquireSlot waits for a slot. It returns ctx's error when the caller is gone first.
+// acquireSlot submits t and waits until it is dispatched or shed. It returns
+// ctx's error when ctx ends first; a slot granted meanwhile is given back.
 func (s *serviceDispatcher) acquireSlot(ctx context.Context, now func() time.Time, t Ticket) (decision, error) {
 	ch := make(chan decision, 1)
 	s.mu.Lock()
@@ -118,7 +120,7 @@
 	return s.dispatcher.QueueLength()
 }
 
-// tick gives the core the time and returns the upstreams to probe.
+// tick passes the time to the dispatcher and returns the upstreams to probe.
 func (s *serviceDispatcher) tick(now time.Time) []kvstore.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +134,7 @@
 	s.deliver(s.dispatcher.FinishProbe(now, upstream, alive, closing))
 }
 
-// deliver hands decisions to the waiting requests. The caller holds mu.
+// deliver sends decisions to the requests that wait for them. The caller holds mu.
 func (s *serviceDispatcher) deliver(d Decisions) {
 	for _, x := range d.Dispatches {
 		s.waiters[x.Ticket] <- decision{dispatch: x}
--- a/routing/upstream.go
+++ b/routing/upstream.go
@@ -10,43 +10,47 @@
 
 const (
 	latencyWeight         = 0.05                   // weight of a new latency in the moving average
-	latencyExcessHalfLife = 20 * time.Second       // an unused estimate's excess over the best halves in this time
-	remoteCostFactor      = 1.5                    // a remote runner must be this much faster than a local one
-	remoteRoundTrip       = 2 * time.Millisecond   // round trip to another failure domain
-	firstBackoff          = 500 * time.Millisecond // after a runner's first failure
+	latencyExcessHalfLife = 20 * time.Second       // time in which an unused estimate's excess over the lowest halves
+	remoteCostFactor      = 1.5                    // a remote upstream must be this many times faster than a local one
+	remoteRoundTrip       = 2 * time.Millisecond   // added latency of another failure domain
+	firstBackoff          = 500 * time.Millisecond // after an upstream's first failure
 	maxBackoff            = 30 * time.Second
-	serverErrorLimit      = 5                     // consecutive 5xx answers that count as failing
-	leavingTimeout        = 30 * time.Second      // no requests after a runner's own sign of leaving, unless it was gone meanwhile
-	probeInterval         = time.Second           // between probes of a runner that is leaving or does not answer
-	fullBackoff           = 20 * time.Millisecond // no requests after a runner said that it is full
-	shareGrowthDelay      = 3 * time.Second       // before slots of a host that is gone are used
+	serverErrorLimit      = 5                     // consecutive 5xx responses that count as a failure
+	leavingTimeout        = 30 * time.Second      // no requests after an upstream announced that it is leaving, unless it went down and came back sooner
+	probeInterval         = time.Second           // between probes of an upstream that is leaving or does not respond
+	fullBackoff           = 20 * time.Millisecond // no requests after an upstream responded that it is full
+	shareGrowthDelay      = 3 * time.Second       // before the slots of an entry host that is gone are used
 )
 
-// upstreamState is what the core knows about one upstream.
+// upstreamState holds a dispatcher's statistics and health state of one upstream.
+// A failure opens a circuit breaker: no requests until the backoff has passed
+// and a probe succeeds (probeRequired), then one at a time until one succeeds
+// (halfOpen).
 type upstreamState struct {
 	host           kvstore.Host
-	local          bool // in this entry host's failure domain
-	outOfService   bool // its failure domain is taken out
-	share          int  // slots that this entry host may use
-	pendingShare   int  // share after growAt, when it grows
-	pendingShareAt time.Time
-	inFlight       map[uint64]time.Time // ticket in flight to its start
-
-	latencySeconds          float64 // moving average in seconds
+	local          bool                 // in this entry host's failure domain
+	outOfService   bool                 // its failure domain is taken out of service
+	share          int                  // slots that this entry host may use
+	pendingShare   int                  // share from pendingShareAt on
+	pendingShareAt time.Time            // zero: no growth is pending
+	inFlight       map[uint64]time.Time // start times by ticket ID
+
+	latencySeconds          float64 // moving average of successful attempts
 	samples                 int
-	measuredAt              time.Time
-	consecutiveFailures     int // consecutive
-	consecutiveServerErrors int // consecutive 5xx answers
-	blockedUntil            time.Time
-	halfOpen                bool // after a failure: one request at a time until one succeeds
-	probeRequired           bool // no requests until a probe succeeds
+	measuredAt              time.Time // of the last sample
+	consecutiveFailures     int
+	consecutiveServerErrors int
+	blockedUntil            time.Time // no requests and no probes before
+	halfOpen                bool      // one request at a time until one succeeds
+	probeRequired           bool      // no requests until a probe succeeds
 	probeInFlight           bool
-	leavingUntil            time.Time // set by the runner's own sign of leaving
-	wentDown                bool      // a probe failed since that sign
+	leavingUntil            time.Time // set when the upstream announces that it is leaving; zero: it is not leaving
+	wentDown                bool      // a probe has failed since that announcement
 }
 
-// setShare shrinks at once and grows only after a delay, in which the requests
-// of a host that has just gone may still be running on the upstream.
+// setShare sets the slots that this entry host may use. A smaller share applies
+// at once; a larger one of a known upstream only after shareGrowthDelay, since
+// requests of an entry host that has just gone may still be running on it.
 func (u *upstreamState) setShare(now time.Time, share int, known bool) {
 	if !known || share <= u.share {
 		u.share = share
@@ -59,6 +63,7 @@
 	u.pendingShare = share
 }
 
+// applyPendingShare applies a larger share once its delay has passed.
 func (u *upstreamState) applyPendingShare(now time.Time) {
 	if !u.pendingShareAt.IsZero() && !now.Before(u.pendingShareAt) {
 		u.share = u.pendingShare
@@ -66,10 +71,11 @@
 	}
 }
 
-// usable reports whether new requests may go to the runner at all.
+// usable reports whether the upstream is in service and this host has a share
+// of it. Its health is not considered.
 func (u *upstreamState) usable() bool { return !u.outOfService && !u.host.Leaving && u.share > 0 }
 
-// available reports whether one more request may go to the runner now.
+// available reports whether one more request may be sent to the upstream now.
 func (u *upstreamState) available(now time.Time) bool {
 	if !u.usable() || u.probeRequired || now.Before(u.blockedUntil) {
 		return false
@@ -80,10 +86,11 @@
 	return len(u.inFlight) < u.share
 }
 
-// expectedServiceSeconds returns the seconds that a request is expectedServiceSeconds to take. best is the
-// smallest estimate of the service; it stands in for a runner never tried, and
-// an estimate that has gone unused drifts back towards it, so that a runner
-// that has recovered is found again.
+// expectedServiceSeconds returns the expected duration of a request, without the
+// round trip to another failure domain. lowestLatency is the lowest estimate of
+// the service's upstreams. It is used for an upstream without samples, and the
+// estimate of an idle upstream decays towards it, so that an upstream that has
+// recovered is tried again. A request in flight for longer raises the estimate.
 func (u *upstreamState) expectedServiceSeconds(now time.Time, lowestLatency float64) float64 {
 	if u.samples == 0 {
 		return lowestLatency
@@ -97,6 +104,7 @@
 	return max(estimate, u.oldestInFlightSeconds(now))
 }
 
+// oldestInFlightSeconds returns the age of the oldest request in flight.
 func (u *upstreamState) oldestInFlightSeconds(now time.Time) float64 {
 	age := time.Duration(0)
 	for _, start := range u.inFlight {
@@ -105,7 +113,8 @@
 	return age.Seconds()
 }
 
-// expectedSeconds is the expected time as the caller sees it, in seconds.
+// expectedSeconds returns the expected duration of a request, with the round trip
+// to another failure domain.
 func (u *upstreamState) expectedSeconds(now time.Time, lowestLatency float64) float64 {
 	expected := u.expectedServiceSeconds(now, lowestLatency)
 	if u.local {
@@ -114,7 +123,8 @@
 	return expected + remoteRoundTrip.Seconds()
 }
 
-// cost is the duration with the preference for the local failure domain.
+// cost returns the expected duration in seconds, weighted to prefer the local
+// failure domain.
 func (u *upstreamState) cost(now time.Time, lowestLatency float64) float64 {
 	if u.local {
 		return u.expectedSeconds(now, lowestLatency)
@@ -122,6 +132,8 @@
 	return u.expectedSeconds(now, lowestLatency) * remoteCostFactor
 }
 
+// recordSuccess adds a latency to the moving average and closes the circuit
+// breaker.
 func (u *upstreamState) recordSuccess(now time.Time, latency time.Duration) {
 	weight := max(latencyWeight, 1/float64(u.samples+1))
 	u.latencySeconds += weight * (latency.Seconds() - u.latencySeconds)
@@ -132,8 +144,9 @@
 	u.halfOpen = false
 }
 
-// recordFailure stops new requests for a time that doubles with each failure in a row.
-// Requests in flight that recordFailure together count once. jitter is in [0, 1).
+// recordFailure stops new requests for a backoff that doubles with each
+// consecutive failure. Requests in flight that fail together count once. jitter
+// is in [0, 1).
 func (u *upstreamState) recordFailure(now time.Time, jitter float64) {
 	if u.probeRequired {
 		return
@@ -147,7 +160,7 @@
 	u.blockUntil(now.Add(backoff))
 }
 
-// markLeaving heeds the runner's own sign that it is leaving.
+// markLeaving stops new requests after the upstream announced that it is leaving.
 func (u *upstreamState) markLeaving(now time.Time) {
 	u.halfOpen = true
 	u.probeRequired = true
@@ -160,8 +173,9 @@
 	return u.probeRequired && !u.probeInFlight && u.usable() && !now.Before(u.blockedUntil)
 }
 
-// recordProbe takes a probe's end into account. A runner that was leaving is taken
-// back once it was gone and answers again, or after leaveHold.
+// recordProbe records the result of a probe. A leaving upstream is used again
+// when it responds after it went down, or when it responds after leavingTimeout.
+// jitter is in [0, 1).
 func (u *upstreamState) recordProbe(now time.Time, alive, closing bool, jitter float64) {
 	u.probeInFlight = false
 	leaving := !u.leavingUntil.IsZero()
@@ -182,14 +196,15 @@
 	}
 }
 
-// blockUntil stops new requests until then; it never shortens an earlier blockUntil.
+// blockUntil stops new requests until the given time; it never shortens an
+// earlier block.
 func (u *upstreamState) blockUntil(until time.Time) {
 	if until.After(u.blockedUntil) {
 		u.blockedUntil = until
 	}
 }
 
-// upstreamSet is the ordered set of a service's runners.
+// upstreamSet is the set of a service's upstreams.
 type upstreamSet struct {
 	states []*upstreamState // ordered by name
 }
@@ -204,7 +219,8 @@
 	return s.states[i]
 }
 
-// lowestLatencySeconds returns the smallest measured latency in seconds of a usable runner.
+// lowestLatencySeconds returns the lowest average latency of the usable
+// upstreams, or 0 when none has a sample.
 func (s *upstreamSet) lowestLatencySeconds() float64 {
 	best := math.Inf(1)
 	for _, u := range s.states {
@@ -218,7 +234,8 @@
 	return best
 }
 
-// completionsPerSecond returns how many requests a second this host's slots complete.
+// completionsPerSecond returns how many requests per second this host's share of
+// the slots is expected to complete.
 func (s *upstreamSet) completionsPerSecond(now time.Time, lowestLatency float64) float64 {
 	rate := 0.0
 	for _, u := range s.states {
