--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -117,7 +117,7 @@
 		for t := range gangTasks {
 			k := (i%racks)*benchRack + (i/racks+t)%benchRack
 			rec.Workers = append(rec.Workers, fmt.Sprintf("worker-%03d", k))
-			workers[k].Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{t}, Hold: time.Hour})
+			workers[k].Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{t}, TTL: time.Hour})
 			workers[k].Start(workerapi.StartRequest{Gang: g, Tasks: []int{t}, Size: gangTasks, Lease: time.Hour})
 		}
 		rec.Enter(job.Running, "", time.Now())
--- a/gang/effects.go
+++ b/gang/effects.go
@@ -94,7 +94,7 @@
 		return Reserved{Worker: a.Worker, Code: workerapi.Refused, Reason: err.Error()}
 	}
 	req := workerapi.ReserveRequest{
-		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Hold: Hold,
+		Term: e.term, Gang: e.gang, Tasks: a.Tasks, TTL: Hold,
 		AcceleratorsPerTask: e.record.Spec.Shape.AcceleratorsPerTask,
 	}
 	var reply workerapi.ReserveReply
@@ -109,7 +109,7 @@
 	req := workerapi.StartRequest{
 		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Size: len(e.workers),
 		Service: e.record.Spec.ID.Service, Template: e.record.Spec.Template,
-		Gangmate: e.addresses(), Lease: Lease,
+		WorkerAddresses: e.addresses(), Lease: Lease,
 	}
 	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
 		e.s.meters.refused.Inc()
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -152,7 +152,7 @@
 	two := c.entryHost(2, nil)
 	c.submit(two, spec("b", 1))
 	holds(t, "the new scheduler knows the job waits for capacity", func() bool {
-		_, known := two.gang.Hold(spec("b", 1).ID)
+		_, known := two.gang.WaitReason(spec("b", 1).ID)
 		return known
 	})
 	must.Eq(t, map[uint64]int{1: 2}, c.running(s))
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -116,7 +116,7 @@
 		view.view.Hosts = append(view.view.Hosts, kvstore.Host{Name: string(rune('0' + i)), Kind: kvstore.Worker,
 			FailureDomain: "fd1", Rack: "r", Address: strings.TrimPrefix(s.URL, "http://")})
 		for _, g := range []workerapi.Gang{whole, part}[:2-i] {
-			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, Hold: Hold})
+			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, TTL: Hold})
 			w.Start(workerapi.StartRequest{Gang: g, Tasks: []int{i}, Size: 2, Lease: Lease})
 		}
 	}
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -87,6 +87,6 @@
 
 // Hold tells why a queued job waits, if this host schedules.
 func (p *peerMethods) Hold(id job.ID, reply *HoldReply) error {
-	reply.Reason, reply.Known = p.s.Hold(id)
+	reply.Reason, reply.Known = p.s.WaitReason(id)
 	return nil
 }
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -235,9 +235,9 @@
 	s.poke()
 }
 
-// Hold returns why a queued job waits, as of the last decision here. ok is
+// WaitReason returns why a queued job waits, as of the last decision here. ok is
 // false when this host does not schedule the failure domain or does not know.
-func (s *Scheduler) Hold(id job.ID) (reason string, ok bool) {
+func (s *Scheduler) WaitReason(id job.ID) (reason string, ok bool) {
 	if _, _, held := s.o.Election.Term(); !held {
 		return "", false
 	}
--- a/gang/takes.go
+++ b/gang/takes.go
@@ -13,10 +13,10 @@
 	taken   chan []job.ID // holds one answer, so that the loop never waits
 }
 
-// Takes returns which of the queued jobs of other failure domains this one
+// StartableJobs returns which of the queued jobs of other failure domains this one
 // could start at once, beside its own. It returns none when this host does not
 // schedule, or when ctx ends first.
-func (s *Scheduler) Takes(ctx context.Context, records []job.Record) []job.ID {
+func (s *Scheduler) StartableJobs(ctx context.Context, records []job.Record) []job.ID {
 	o := offer{records: records, taken: make(chan []job.ID, 1)}
 	select {
 	case s.offers <- o:
--- a/gang/takes_test.go
+++ b/gang/takes_test.go
@@ -20,7 +20,7 @@
 	takes := func() []job.ID {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		return e.gang.Takes(ctx, []job.Record{one, two})
+		return e.gang.StartableJobs(ctx, []job.Record{one, two})
 	}
 	own := spec("own", 1)
 	c.submit(e, own)
--- a/gang/world_test.go
+++ b/gang/world_test.go
@@ -243,7 +243,7 @@
 			return
 		}
 		w.message(i, number(a.Worker), func(s *worker.Server) Event {
-			r := s.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: a.Tasks, AcceleratorsPerTask: 1, Hold: Hold})
+			r := s.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: a.Tasks, AcceleratorsPerTask: 1, TTL: Hold})
 			return Reserved{Worker: a.Worker, Code: r.Code}
 		}, Reserved{Worker: a.Worker}, post)
 	case Start:
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -174,7 +174,7 @@
 	if used+len(r.Tasks)*r.AcceleratorsPerTask > s.o.Accelerators {
 		return workerapi.ReserveReply{Code: workerapi.NoCapacity, Reason: "too few free accelerators"}
 	}
-	expires := s.o.Now().Add(r.Hold)
+	expires := s.o.Now().Add(r.TTL)
 	for _, index := range r.Tasks {
 		s.tasks[taskKey{r.Gang, index}] = &task{expires: expires, Task: workerapi.Task{
 			Gang: r.Gang, Index: index, Accelerators: r.AcceleratorsPerTask, State: workerapi.TaskReserved,
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -21,7 +21,7 @@
 }
 
 func reserve(w *worker.Server, term uint64) workerapi.Code {
-	return w.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: []int{0, 1}, AcceleratorsPerTask: 2, Hold: time.Second}).Code
+	return w.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: []int{0, 1}, AcceleratorsPerTask: 2, TTL: time.Second}).Code
 }
 
 func start(w *worker.Server, term uint64) workerapi.Code {
--- a/workerapi/workerapi.go
+++ b/workerapi/workerapi.go
@@ -41,7 +41,7 @@
 	Gang                Gang          `json:"gang"`
 	Tasks               []int         `json:"tasks"` // task indices
 	AcceleratorsPerTask int           `json:"acceleratorsPerTask"`
-	Hold                time.Duration `json:"holdNanos"` // from arrival at the worker
+	TTL                 time.Duration `json:"holdNanos"` // from arrival at the worker
 }
 
 // ReserveReply answers a reservation.
@@ -52,14 +52,14 @@
 
 // StartRequest starts the reserved tasks of a gang under a lease.
 type StartRequest struct {
-	Term     uint64        `json:"term"`
-	Gang     Gang          `json:"gang"`
-	Tasks    []int         `json:"tasks"`
-	Size     int           `json:"size"` // number of tasks in the whole gang
-	Service  string        `json:"service"`
-	Template string        `json:"template"`
-	Gangmate []string      `json:"gangmates"` // worker addresses, one a task, for the tasks to find each other
-	Lease    time.Duration `json:"leaseNanos"`
+	Term            uint64        `json:"term"`
+	Gang            Gang          `json:"gang"`
+	Tasks           []int         `json:"tasks"`
+	Size            int           `json:"size"` // number of tasks in the whole gang
+	Service         string        `json:"service"`
+	Template        string        `json:"template"`
+	WorkerAddresses []string      `json:"gangmates"` // worker addresses, one a task, for the tasks to find each other
+	Lease           time.Duration `json:"leaseNanos"`
 }
 
 // GangRequest releases, checkpoints or stops a gang's tasks on a worker.
