--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -61,7 +61,7 @@
 	view  membership.View
 	jobs  *ledger.Jobs
 	bytes atomic.Int64
-	calls *HTTPWorkers
+	calls *HTTPWorkerCaller
 }
 
 func (d *benchDomain) Current() (*config.Snapshot, time.Time) { return &d.snap, time.Now() }
@@ -80,7 +80,7 @@
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &d.bytes}, err
 	}
-	d.calls = &HTTPWorkers{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
+	d.calls = &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
 	store := httptest.NewServer(kv.New())
 	b.Cleanup(store.Close)
 	ledgers := ledger.New(ledger.Options{Store: kvstore.NewClient(store.URL), Gap: time.Millisecond})
@@ -169,7 +169,7 @@
 			b.StopTimer()
 			rounds := float64(2 * benchHosts * b.N)
 			b.ReportMetric(b.Elapsed().Seconds()*1000/rounds, "ms/round")
-			per := RenewEvery.Seconds()
+			per := RenewInterval.Seconds()
 			b.ReportMetric(most/per, "B/s-busiest-host")
 			b.ReportMetric(all/per/benchHosts, "B/s-host")
 			b.ReportMetric(all/per/benchWorkers, "B/s-worker")
--- a/gang/client.go
+++ b/gang/client.go
@@ -27,27 +27,27 @@
 	Call(ctx context.Context, address, path string, args, reply any) error
 }
 
-// HTTPWorkers speaks workerapi over HTTP.
-type HTTPWorkers struct {
+// HTTPWorkerCaller speaks workerapi over HTTP.
+type HTTPWorkerCaller struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTPWorkers returns a caller with its own connections.
-func NewHTTPWorkers() *HTTPWorkers {
+// NewHTTPWorkerCaller returns a caller with its own connections.
+func NewHTTPWorkerCaller() *HTTPWorkerCaller {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: workerTimeout}).DialContext,
 		MaxIdleConnsPerHost: idlePerWorker,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &HTTPWorkers{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
+	return &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
 }
 
 // Close drops idle connections.
-func (h *HTTPWorkers) Close() { h.client.CloseIdleConnections() }
+func (h *HTTPWorkerCaller) Close() { h.client.CloseIdleConnections() }
 
 // Call implements WorkerCaller.
-func (h *HTTPWorkers) Call(ctx context.Context, address, path string, args, reply any) error {
+func (h *HTTPWorkerCaller) Call(ctx context.Context, address, path string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	req, err := newRequest(ctx, address, path, args)
--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -96,20 +96,20 @@
 // event returns what the observation means to a run.
 func (o Observation) event() Event {
 	if o.Unreachable {
-		return Lost{Worker: o.Worker, Reason: "worker " + o.Worker + " answered no renewal for a whole lease"}
+		return WorkerLost{Worker: o.Worker, Reason: "worker " + o.Worker + " answered no renewal for a whole lease"}
 	}
-	return Listed{Worker: o.Worker, Known: true, Tasks: o.Tasks}
+	return TasksListed{Worker: o.Worker, Answered: true, Tasks: o.Tasks}
 }
 
 func adopt(g workerapi.Gang, rec job.Record, now time.Time) (*Run, []Action) {
 	if rec.State != job.Stopping {
-		return Adopt(g, rec.Workers, now)
+		return AdoptRun(g, rec.Workers, now)
 	}
-	order := StopOrder{Next: job.Queued, Reason: rec.Reason}
+	order := StopRequest{NextState: job.Queued, Reason: rec.Reason}
 	if rec.CancelBy != "" {
-		order.Next = job.Cancelled
+		order.NextState = job.Cancelled
 	}
-	return Resume(g, rec.Workers, order, now)
+	return ResumeStop(g, rec.Workers, order, now)
 }
 
 func live(s job.State) bool { return s == job.Placed || s == job.Running || s == job.Stopping }
@@ -143,7 +143,7 @@
 			continue
 		}
 		if t := s.runs[key]; t != nil {
-			s.step(ctx, t, StopOrder{Next: next, Reason: reason, Grace: graceOf(rec)})
+			s.step(ctx, t, StopRequest{NextState: next, Reason: reason, Grace: graceOf(rec)})
 			continue
 		}
 		if rec.State == job.Queued && next != job.Queued {
@@ -172,7 +172,7 @@
 	if !rec.Spec.Checkpoint || rec.CancelBy != "" {
 		return 0
 	}
-	return Grace
+	return CheckpointGrace
 }
 
 // decide asks placement what to start and reclaim, when starts are permitted.
@@ -207,7 +207,7 @@
 	if t == nil {
 		return
 	}
-	s.step(ctx, t, StopOrder{Next: job.Queued, Reason: r.Reason, Grace: graceOf(t.record)})
+	s.step(ctx, t, StopRequest{NextState: job.Queued, Reason: r.Reason, Grace: graceOf(t.record)})
 }
 
 func (s *Scheduler) place(ctx context.Context, now time.Time, start placement.Start, rec job.Record) {
@@ -219,7 +219,7 @@
 	rec.Workers = start.Workers
 	rec.Guaranteed = start.Guaranteed
 	rec.Term = s.term
-	run, actions := Place(workerapi.Gang{Job: key, Generation: rec.Generation}, start.Workers, now)
+	run, actions := NewRun(workerapi.Gang{Job: key, Generation: rec.Generation}, start.Workers, now)
 	t := &tracked{run: run, record: rec}
 	s.runs[key] = t
 	s.meters.placed.Inc()
--- a/gang/effects.go
+++ b/gang/effects.go
@@ -13,9 +13,9 @@
 // its answer back as an event.
 func (s *Scheduler) act(ctx context.Context, t *tracked, actions []Action) {
 	for _, a := range actions {
-		if r, ok := a.(Record); ok {
+		if r, ok := a.(RecordState); ok {
 			s.learn(t, r)
-			r.Fatal = t.fatal
+			r.FatalReason = t.fatal
 			a = r
 		}
 		e := effect{s: s, gang: t.run.Gang, term: s.term, record: t.record, workers: t.run.Workers}
@@ -42,13 +42,13 @@
 func (e effect) do(ctx context.Context, a Action) {
 	ctx = telemetry.WithTraceParent(ctx, e.record.TraceParent)
 	switch a := a.(type) {
-	case Record:
+	case RecordState:
 		e.post(ctx, e.write(ctx, a))
 	case Reserve:
 		e.post(ctx, e.reserve(ctx, a))
 	case Start:
 		e.post(ctx, e.start(ctx, a))
-	case List:
+	case ListTasks:
 		e.post(ctx, e.list(ctx, a))
 	case Checkpoint:
 		e.post(ctx, e.checkpoint(ctx, a))
@@ -94,7 +94,7 @@
 		return Reserved{Worker: a.Worker, Code: workerapi.Refused, Reason: err.Error()}
 	}
 	req := workerapi.ReserveRequest{
-		Term: e.term, Gang: e.gang, Tasks: a.Tasks, TTL: Hold,
+		Term: e.term, Gang: e.gang, Tasks: a.Tasks, TTL: ReservationTTL,
 		AcceleratorsPerTask: e.record.Spec.Shape.AcceleratorsPerTask,
 	}
 	var reply workerapi.ReserveReply
@@ -109,7 +109,7 @@
 	req := workerapi.StartRequest{
 		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Size: len(e.workers),
 		Service: e.record.Spec.ID.Service, Template: e.record.Spec.Template,
-		WorkerAddresses: e.addresses(), Lease: Lease,
+		WorkerAddresses: e.addresses(), Lease: LeaseDuration,
 	}
 	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
 		e.s.meters.refused.Inc()
@@ -131,13 +131,13 @@
 }
 
 // list asks what a worker holds. Runs that ask together share one call.
-func (e effect) list(ctx context.Context, a List) Listed {
+func (e effect) list(ctx context.Context, a ListTasks) TasksListed {
 	tasks, err, _ := e.s.lists.Do(a.Worker, func() (any, error) {
 		var reply workerapi.TasksReply
 		err := e.call(ctx, a.Worker, workerapi.PathTasks, nil, &reply)
 		return reply.Tasks, err
 	})
-	listed := Listed{Worker: a.Worker, Known: err == nil}
+	listed := TasksListed{Worker: a.Worker, Answered: err == nil}
 	if err == nil {
 		listed.Tasks = tasks.([]workerapi.Task)
 	}
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -115,7 +115,7 @@
 			whole := c.client
 			c.client = mortal{whole, &dead}
 			one := c.entryHost(1, func(o *gang.Options) {
-				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkers(), path: tc.path, nth: tc.nth, act: func() bool {
+				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, nth: tc.nth, act: func() bool {
 					dead.Store(true)
 					close(killed)
 					return true
@@ -178,7 +178,7 @@
 			c := newCluster(t, 2, nil)
 			s := spec("a", 2)
 			e := c.entryHost(1, func(o *gang.Options) {
-				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkers(), path: workerapi.PathReserve, nth: 2, act: func() bool {
+				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathReserve, nth: 2, act: func() bool {
 					tc.act(c)
 					return false
 				}}
@@ -205,7 +205,7 @@
 	c := newCluster(t, 1, func(int) worker.Options {
 		return worker.Options{Before: func(path string) error {
 			if path == workerapi.PathStart {
-				late.Do(func() { time.Sleep(gang.Hold + 300*time.Millisecond) })
+				late.Do(func() { time.Sleep(gang.ReservationTTL + 300*time.Millisecond) })
 			}
 			return nil
 		}}
@@ -226,7 +226,7 @@
 	s := spec("a", 2)
 	c.watchCopies(s)
 	frozen, thaw := make(chan struct{}), make(chan struct{})
-	paused := &gate{WorkerCaller: gang.NewHTTPWorkers(), path: workerapi.PathStart, nth: 1, act: func() bool {
+	paused := &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, nth: 1, act: func() bool {
 		close(frozen)
 		<-thaw
 		return false
--- a/gang/learned.go
+++ b/gang/learned.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	saveLearntEvery = 10 * time.Minute
-	learntTimeout   = 10 * time.Second
+	estimatesSaveInterval = 10 * time.Minute
+	estimatesIOTimeout    = 10 * time.Second
 )
 
 // learnt tells what was learned since the estimates were last kept.
@@ -25,7 +25,7 @@
 
 // learn takes a run's outcome into the estimates, the quarantine and the
 // counters, once a run.
-func (s *Scheduler) learn(t *tracked, r Record) {
+func (s *Scheduler) learn(t *tracked, r RecordState) {
 	now := s.o.Now()
 	spec := t.record.Spec
 	if r.State == job.Running && t.record.Started.IsZero() {
@@ -46,7 +46,7 @@
 		}
 	case r.Failed:
 		s.meters.broken.Inc()
-		s.blame(t, r.Suspect, now)
+		s.blame(t, r.SuspectWorkers, now)
 	case r.State == job.Queued:
 		s.meters.broken.Inc()
 		if t.record.Started.IsZero() && t.record.Term == s.term {
@@ -80,7 +80,7 @@
 		return
 	}
 	s.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), learntTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), estimatesIOTimeout)
 		defer cancel()
 		note, found, err := s.o.Notes.Read(ctx, s.learntKey())
 		if err != nil || !found {
@@ -104,7 +104,7 @@
 
 // saveLearnt keeps the estimates now and then, beside the loop.
 func (s *Scheduler) saveLearnt(now time.Time) {
-	if s.o.Notes == nil || !s.learnt.changed || now.Sub(s.learnt.saved) < saveLearntEvery {
+	if s.o.Notes == nil || !s.learnt.changed || now.Sub(s.learnt.saved) < estimatesSaveInterval {
 		return
 	}
 	note, err := json.Marshal(s.estimates)
@@ -113,7 +113,7 @@
 	}
 	s.learnt.changed, s.learnt.saved = false, now
 	s.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), learntTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), estimatesIOTimeout)
 		defer cancel()
 		_, err := s.o.Notes.Update(ctx, s.learntKey(), func(json.RawMessage, bool) (json.RawMessage, bool, error) {
 			return note, true, nil
--- a/gang/messages.go
+++ b/gang/messages.go
@@ -35,25 +35,25 @@
 	Reason string
 }
 
-// Listed is what a worker holds of the run's gang. Known is false when the
+// TasksListed is what a worker holds of the run's gang. Known is false when the
 // worker did not answer.
-type Listed struct {
-	Worker string
-	Known  bool
-	Tasks  []workerapi.Task
+type TasksListed struct {
+	Worker   string
+	Answered bool
+	Tasks    []workerapi.Task
 }
 
-// Lost says that a worker's tasks could not be renewed for a whole lease.
-type Lost struct {
+// WorkerLost says that a worker's tasks could not be renewed for a whole lease.
+type WorkerLost struct {
 	Worker string
 	Reason string
 }
 
-// StopOrder asks the run to end by choice: checkpoint, grace, stop.
-type StopOrder struct {
-	Next   job.State // Queued to run again, or a terminal state
-	Reason string
-	Grace  time.Duration // 0: stop without a checkpoint
+// StopRequest asks the run to end by choice: checkpoint, grace, stop.
+type StopRequest struct {
+	NextState job.State // Queued to run again, or a terminal state
+	Reason    string
+	Grace     time.Duration // 0: stop without a checkpoint
 }
 
 // Checkpointed says that a worker saved its tasks' work, or did not.
@@ -78,9 +78,9 @@
 func (Recorded) event()     {}
 func (Reserved) event()     {}
 func (Started) event()      {}
-func (Listed) event()       {}
-func (Lost) event()         {}
-func (StopOrder) event()    {}
+func (TasksListed) event()  {}
+func (WorkerLost) event()   {}
+func (StopRequest) event()  {}
 func (Checkpointed) event() {}
 func (Stopped) event()      {}
 func (Fenced) event()       {}
@@ -89,14 +89,14 @@
 // Action is something that a run wants done.
 type Action interface{ action() }
 
-// Record asks for the run's state in the ledger.
-type Record struct {
-	State   job.State
-	Reason  string
-	Failed  bool     // the run ended in failure
-	Suspect []string // workers on which tasks failed
-	Saved   bool     // every task saved its work
-	Fatal   string   // why the job itself is at fault; empty: it may run again
+// RecordState asks for the run's state in the ledger.
+type RecordState struct {
+	State          job.State
+	Reason         string
+	Failed         bool     // the run ended in failure
+	SuspectWorkers []string // workers on which tasks failed
+	Checkpointed   bool     // every task saved its work
+	FatalReason    string   // why the job itself is at fault; empty: it may run again
 }
 
 // Reserve asks for a reservation on a worker.
@@ -111,8 +111,8 @@
 	Tasks  []int
 }
 
-// List asks what a worker holds.
-type List struct{ Worker string }
+// ListTasks asks what a worker holds.
+type ListTasks struct{ Worker string }
 
 // Checkpoint asks a worker to save the work of the gang's tasks.
 type Checkpoint struct {
@@ -129,10 +129,10 @@
 // Fence asks every entry host to renew the gang no more.
 type Fence struct{}
 
-func (Record) action()     {}
-func (Reserve) action()    {}
-func (Start) action()      {}
-func (List) action()       {}
-func (Checkpoint) action() {}
-func (Stop) action()       {}
-func (Fence) action()      {}
+func (RecordState) action() {}
+func (Reserve) action()     {}
+func (Start) action()       {}
+func (ListTasks) action()   {}
+func (Checkpoint) action()  {}
+func (Stop) action()        {}
+func (Fence) action()       {}
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -70,7 +70,7 @@
 	w := quietWorld(t)
 	k := number(w.ledger["o/s/0"].Workers[0])
 	w.links[0][k], w.links[1][k] = true, true
-	w.run(Lease - RenewEvery)
+	w.run(LeaseDuration - RenewInterval)
 	must.EqOp(t, 1, w.running("o/s/0"), must.Sprint("its lease has not lapsed"))
 	w.run(2 * time.Minute)
 	again := w.running("o/s/0")
@@ -116,14 +116,14 @@
 		view.view.Hosts = append(view.view.Hosts, kvstore.Host{Name: string(rune('0' + i)), Kind: kvstore.Worker,
 			FailureDomain: "fd1", Rack: "r", Address: strings.TrimPrefix(s.URL, "http://")})
 		for _, g := range []workerapi.Gang{whole, part}[:2-i] {
-			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, TTL: Hold})
-			w.Start(workerapi.StartRequest{Gang: g, Tasks: []int{i}, Size: 2, Lease: Lease})
+			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, TTL: ReservationTTL})
+			w.Start(workerapi.StartRequest{Gang: g, Tasks: []int{i}, Size: 2, Lease: LeaseDuration})
 		}
 	}
 	o := Options{FailureDomain: "fd1", Membership: view, Now: func() time.Time { return now },
 		Ledger: ledger.New(ledger.Options{}).Jobs("fd1")}.withDefaults()
 	r := newRenewer(o, func(Observation) {})
-	now = now.Add(Lease - time.Second)
+	now = now.Add(LeaseDuration - time.Second)
 	r.renewOnce(context.Background())
 	now = now.Add(2 * time.Second)
 	var running []workerapi.Gang
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -23,7 +23,7 @@
 // messages already under way.
 func (r *renewer) release(g workerapi.Gang) {
 	r.mu.Lock()
-	r.core.Release(r.o.Now(), g)
+	r.core.StopRenewing(r.o.Now(), g)
 	r.mu.Unlock()
 	r.round.Lock() // waits for the present round
 	defer r.round.Unlock()
--- a/gang/permit.go
+++ b/gang/permit.go
@@ -8,9 +8,9 @@
 	"github.com/cyclamentray/cyclamentray/election"
 )
 
-// PermitAge is the oldest confirmation of the configuration that still allows
+// MaxConfigAge is the oldest confirmation of the configuration that still allows
 // a start, measured from before the platform was asked.
-const PermitAge = 2 * time.Second
+const MaxConfigAge = 2 * time.Second
 
 // Permit tells whether a start message may be sent at this moment.
 type Permit struct {
@@ -28,7 +28,7 @@
 			"this host no longer schedules the failure domain", "wait for the new scheduler to take over")
 	}
 	snap, confirmed := p.Config.Current()
-	if now.Sub(confirmed) > PermitAge {
+	if now.Sub(confirmed) > MaxConfigAge {
 		return apierr.New(apierr.Unavailable,
 			"the configuration was not confirmed lately", "wait until the platform answers again")
 	}
--- a/gang/records.go
+++ b/gang/records.go
@@ -22,7 +22,7 @@
 var errSuperseded = errors.New("gang: the ledger has the job elsewhere; drop this run")
 
 // write brings the ledger to the run's state.
-func (e effect) write(ctx context.Context, a Record) Recorded {
+func (e effect) write(ctx context.Context, a RecordState) Recorded {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	rec := e.record
@@ -47,7 +47,7 @@
 
 // transition returns the record after a run's step. It gives the same answer
 // when the step is already in old, as a lost answer may have it written twice.
-func transition(old job.Record, found bool, rec job.Record, a Record, limit int, now time.Time) (job.Record, error) {
+func transition(old job.Record, found bool, rec job.Record, a RecordState, limit int, now time.Time) (job.Record, error) {
 	if !found {
 		return old, errSuperseded
 	}
@@ -97,12 +97,12 @@
 }
 
 // requeue lets a job run again, unless it was cancelled or failed too often.
-func requeue(next *job.Record, a Record, limit int, now time.Time) {
+func requeue(next *job.Record, a RecordState, limit int, now time.Time) {
 	if a.Failed {
 		next.Failures++
-		next.Avoid = append(append([]string(nil), next.Avoid...), a.Suspect...)
+		next.Avoid = append(append([]string(nil), next.Avoid...), a.SuspectWorkers...)
 	}
-	if a.Saved {
+	if a.Checkpointed {
 		next.Checkpointed = now
 	}
 	next.Workers = nil
@@ -110,8 +110,8 @@
 	switch {
 	case next.CancelBy != "":
 		next.Enter(job.Cancelled, "cancelled by "+next.CancelBy, now)
-	case a.Fatal != "":
-		next.Enter(job.Failed, a.Fatal, now)
+	case a.FatalReason != "":
+		next.Enter(job.Failed, a.FatalReason, now)
 	case a.Failed && next.Failures >= limit:
 		next.Enter(job.Failed, "it failed too often; last: "+a.Reason, now)
 	default:
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -7,14 +7,14 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// RosterGang is a gang whose leases are to be kept, and its workers.
-type RosterGang struct {
+// AssignedGang is a gang whose leases are to be kept, and its workers.
+type AssignedGang struct {
 	Gang    workerapi.Gang
 	Workers []string // distinct
 }
 
-// Batch is one renewal message to a worker. A probe extends nothing.
-type Batch struct {
+// RenewalBatch is one renewal message to a worker. A probe extends nothing.
+type RenewalBatch struct {
 	Worker string
 	Gangs  []workerapi.Gang
 	Probe  bool
@@ -29,9 +29,9 @@
 	Unreachable bool
 }
 
-// releaseKept is how long a promise is remembered: far longer than the ledger
+// releaseRetention is how long a promise is remembered: far longer than the ledger
 // lists a generation that has ended.
-const releaseKept = time.Hour
+const releaseRetention = time.Hour
 
 type share struct {
 	acked    time.Time // last renewal or probe that the worker confirmed
@@ -46,29 +46,29 @@
 	broken  bool // a member is lost: renewed no more
 }
 
-// Renewals decides which leases one entry host renews. A gang is renewed as
+// RenewalPlanner decides which leases one entry host renews. A gang is renewed as
 // one: only while every member confirmed the last message. Members that did
 // not, and all members of a gang new to this host, are first asked by probes
 // that extend nothing. So a gang that lost a member ends by itself. It is pure
 // state, owned by the renewer's loop.
-type Renewals struct {
+type RenewalPlanner struct {
 	gangs    map[workerapi.Gang]*keep
 	released map[workerapi.Gang]time.Time
 }
 
-// NewRenewals returns an empty set.
-func NewRenewals() *Renewals {
-	return &Renewals{gangs: make(map[workerapi.Gang]*keep), released: make(map[workerapi.Gang]time.Time)}
+// NewRenewalPlanner returns an empty set.
+func NewRenewalPlanner() *RenewalPlanner {
+	return &RenewalPlanner{gangs: make(map[workerapi.Gang]*keep), released: make(map[workerapi.Gang]time.Time)}
 }
 
-// Release promises that the gang is never renewed here again.
-func (r *Renewals) Release(now time.Time, g workerapi.Gang) {
+// StopRenewing promises that the gang is never renewed here again.
+func (r *RenewalPlanner) StopRenewing(now time.Time, g workerapi.Gang) {
 	r.released[g] = now
 	delete(r.gangs, g)
 }
 
-// SetRoster replaces the gangs that this host keeps.
-func (r *Renewals) SetRoster(now time.Time, roster []RosterGang) {
+// SetAssigned replaces the gangs that this host keeps.
+func (r *RenewalPlanner) SetAssigned(now time.Time, roster []AssignedGang) {
 	next := make(map[workerapi.Gang]*keep, len(roster))
 	for _, g := range roster {
 		if _, released := r.released[g.Gang]; released {
@@ -82,7 +82,7 @@
 	}
 	r.gangs = next
 	for g, at := range r.released {
-		if now.Sub(at) >= releaseKept {
+		if now.Sub(at) >= releaseRetention {
 			delete(r.released, g)
 		}
 	}
@@ -96,9 +96,9 @@
 	return k
 }
 
-// Tick returns one round of messages, ordered by worker, and the gangs that
+// PlanRound returns one round of messages, ordered by worker, and the gangs that
 // are given up because a worker stayed silent for a whole lease.
-func (r *Renewals) Tick(now time.Time) (batches []Batch, lost []Observation) {
+func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, lost []Observation) {
 	set := newBatchSet()
 	for _, g := range r.ordered() {
 		k := r.gangs[g]
@@ -115,9 +115,9 @@
 	return set.batches(), lost
 }
 
-// Again returns the rest of a round, once its answers are in: gangs that turned
+// PlanSecondPass returns the rest of a round, once its answers are in: gangs that turned
 // out whole after a probe are renewed, silent members are probed once more.
-func (r *Renewals) Again() []Batch {
+func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
 	for _, g := range r.ordered() {
 		k := r.gangs[g]
@@ -153,13 +153,13 @@
 	}
 }
 
-func (b batchSet) batches() []Batch {
-	var out []Batch
+func (b batchSet) batches() []RenewalBatch {
+	var out []RenewalBatch
 	for _, w := range sortedKeys(b.probes) {
-		out = append(out, Batch{Worker: w, Gangs: b.probes[w], Probe: true})
+		out = append(out, RenewalBatch{Worker: w, Gangs: b.probes[w], Probe: true})
 	}
 	for _, w := range sortedKeys(b.renewals) {
-		out = append(out, Batch{Worker: w, Gangs: b.renewals[w]})
+		out = append(out, RenewalBatch{Worker: w, Gangs: b.renewals[w]})
 	}
 	return out
 }
@@ -174,7 +174,7 @@
 	return false
 }
 
-func (r *Renewals) ordered() []workerapi.Gang {
+func (r *RenewalPlanner) ordered() []workerapi.Gang {
 	out := make([]workerapi.Gang, 0, len(r.gangs))
 	for g := range r.gangs {
 		out = append(out, g)
@@ -192,15 +192,15 @@
 func (k *keep) silent(now time.Time) string {
 	found := ""
 	for w, s := range k.workers {
-		if !s.done && now.Sub(s.acked) >= Lease && (found == "" || w < found) {
+		if !s.done && now.Sub(s.acked) >= LeaseDuration && (found == "" || w < found) {
 			found = w
 		}
 	}
 	return found
 }
 
-// Answer takes a worker's answer to a batch and returns what it taught.
-func (r *Renewals) Answer(now time.Time, b Batch, reply workerapi.RenewReply) []Observation {
+// HandleReply takes a worker's answer to a batch and returns what it taught.
+func (r *RenewalPlanner) HandleReply(now time.Time, b RenewalBatch, reply workerapi.RenewReply) []Observation {
 	missing := make(map[workerapi.Gang]bool, len(reply.Missing))
 	for _, g := range reply.Missing {
 		missing[g] = true
@@ -232,7 +232,7 @@
 			finished = finished && t.State == workerapi.TaskFinished
 		}
 	}
-	starting := len(tasks) == 0 && now.Sub(k.since) < Lease
+	starting := len(tasks) == 0 && now.Sub(k.since) < LeaseDuration
 	if starting {
 		return nil
 	}
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -20,7 +20,7 @@
 	observe func(Observation)
 
 	mu    sync.Mutex // guards core
-	core  *Renewals
+	core  *RenewalPlanner
 	round sync.RWMutex // held for reading while messages of a round are under way
 
 	sent   *metrics.Counter
@@ -31,14 +31,14 @@
 	return &renewer{
 		o:       o,
 		observe: observe,
-		core:    NewRenewals(),
+		core:    NewRenewalPlanner(),
 		sent:    o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_sent_total"),
 		failed:  o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_unanswered_total"),
 	}
 }
 
 func (r *renewer) run(ctx context.Context) {
-	ticker := time.NewTicker(RenewEvery)
+	ticker := time.NewTicker(RenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -57,19 +57,19 @@
 	r.round.RLock()
 	defer r.round.RUnlock()
 	r.mu.Lock()
-	r.core.SetRoster(r.o.Now(), roster)
-	batches, lost := r.core.Tick(r.o.Now())
+	r.core.SetAssigned(r.o.Now(), roster)
+	batches, lost := r.core.PlanRound(r.o.Now())
 	r.mu.Unlock()
 	r.report(ctx, lost)
 	r.send(ctx, batches)
 	r.mu.Lock()
-	batches = r.core.Again()
+	batches = r.core.PlanSecondPass()
 	r.mu.Unlock()
 	r.send(ctx, batches)
 }
 
 // send delivers a round's messages side by side and takes in the answers.
-func (r *renewer) send(ctx context.Context, batches []Batch) {
+func (r *renewer) send(ctx context.Context, batches []RenewalBatch) {
 	learned := make([][]Observation, len(batches))
 	var g errgroup.Group
 	for i, b := range batches {
@@ -82,13 +82,13 @@
 	r.report(ctx, slices.Concat(learned...))
 }
 
-func (r *renewer) renew(ctx context.Context, b Batch) []Observation {
+func (r *renewer) renew(ctx context.Context, b RenewalBatch) []Observation {
 	address, listed := workerAddress(r.o, b.Worker)
 	if !listed {
 		return nil
 	}
 	r.sent.Inc()
-	req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: Lease}
+	req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: LeaseDuration}
 	if b.Probe {
 		req.Lease = 0
 	}
@@ -99,7 +99,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.core.Answer(r.o.Now(), b, reply)
+	return r.core.HandleReply(r.o.Now(), b, reply)
 }
 
 func workerAddress(o Options, worker string) (string, bool) {
--- a/gang/roster.go
+++ b/gang/roster.go
@@ -13,7 +13,7 @@
 
 // roster lists the gangs of this host's share. A host that has never read the
 // ledger asks the workers instead.
-func (r *renewer) roster(ctx context.Context) (out []RosterGang) {
+func (r *renewer) roster(ctx context.Context) (out []AssignedGang) {
 	records, _, complete := r.o.Ledger.Snapshot()
 	if !complete {
 		return r.listed(ctx)
@@ -26,14 +26,14 @@
 		}
 		if share.mine(rec.Workers[0]) {
 			g := workerapi.Gang{Job: key, Generation: rec.Generation}
-			out = append(out, RosterGang{Gang: g, Workers: distinct(rec.Workers)})
+			out = append(out, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
 		}
 	}
 	return out
 }
 
 // listed builds the roster from what the workers run: whole gangs only.
-func (r *renewer) listed(ctx context.Context) []RosterGang {
+func (r *renewer) listed(ctx context.Context) []AssignedGang {
 	var mu sync.Mutex
 	found := make(map[workerapi.Gang]map[int]string)
 	size := make(map[workerapi.Gang]int)
@@ -61,7 +61,7 @@
 	}
 	_ = g.Wait()
 	share := newShares(r.o)
-	var out []RosterGang
+	var out []AssignedGang
 	for gang, tasks := range found {
 		if len(tasks) != size[gang] || !share.mine(tasks[0]) {
 			continue
@@ -70,7 +70,7 @@
 		for i := range workers {
 			workers[i] = tasks[i]
 		}
-		out = append(out, RosterGang{Gang: gang, Workers: distinct(workers)})
+		out = append(out, AssignedGang{Gang: gang, Workers: distinct(workers)})
 	}
 	return out
 }
--- a/gang/run.go
+++ b/gang/run.go
@@ -10,15 +10,15 @@
 // Times of a gang's life. The bound on a start after a taking-out is
 // PermitAge + Hold.
 const (
-	// Hold is how long a reservation lives from its arrival at the worker.
-	Hold = time.Second
-	// Lease is how long tasks run without a renewal.
-	Lease = 20 * time.Second
-	// RenewEvery is the time between two renewals of a gang.
-	RenewEvery = 5 * time.Second
-	// Grace is the longest a checkpoint may take before the stop. It is under
+	// ReservationTTL is how long a reservation lives from its arrival at the worker.
+	ReservationTTL = time.Second
+	// LeaseDuration is how long tasks run without a renewal.
+	LeaseDuration = 20 * time.Second
+	// RenewInterval is the time between two renewals of a gang.
+	RenewInterval = 5 * time.Second
+	// CheckpointGrace is the longest a checkpoint may take before the stop. It is under
 	// Lease less RenewEvery, so no renewal is needed meanwhile.
-	Grace = 10 * time.Second
+	CheckpointGrace = 10 * time.Second
 	// lapseMargin covers timer skew when a lease is waited out.
 	lapseMargin = 2 * time.Second
 	// adoptPatience is how long a new scheduler waits for a gang's workers to answer.
@@ -37,15 +37,15 @@
 
 // The phases of a run.
 const (
-	Recording Phase = iota // the ledger is asked to take the placement
+	RecordingPlacement Phase = iota // the ledger is asked to take the placement
 	Reserving
 	Starting
 	Running
-	Adopting // found in the ledger by a new scheduler; workers are asked
-	Ordered  // a stop by choice is being recorded
-	Saving   // tasks save their work
-	Stopping // workers are told to stop; the rest is waited out
-	Closing  // the outcome is being recorded
+	Adopting         // found in the ledger by a new scheduler; workers are asked
+	RecordingStop    // a stop by choice is being recorded
+	Checkpointing    // tasks save their work
+	Stopping         // workers are told to stop; the rest is waited out
+	RecordingOutcome // the outcome is being recorded
 	Ended
 )
 
@@ -75,10 +75,10 @@
 	Phase   Phase
 	Workers []string // worker of each task
 
-	members []*member // in order of their first task
-	since   time.Time // start of the phase
-	next    time.Time // next retry
-	order   StopOrder // why and into what it ends
+	members []*member   // in order of their first task
+	since   time.Time   // start of the phase
+	next    time.Time   // next retry
+	order   StopRequest // why and into what it ends
 	failed  bool
 	suspect []string
 	asked   job.State // state last handed to the ledger
@@ -102,14 +102,14 @@
 	return r
 }
 
-// Place begins a new run: its placement goes to the ledger first.
-func Place(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Recording, now)
+// NewRun begins a new run: its placement goes to the ledger first.
+func NewRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
+	r := newRun(g, workers, RecordingPlacement, now)
 	return r, []Action{r.record(job.Placed, "")}
 }
 
-// Adopt takes over a run that the ledger knows and this scheduler did not start.
-func Adopt(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
+// AdoptRun takes over a run that the ledger knows and this scheduler did not start.
+func AdoptRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
 	r := newRun(g, workers, Adopting, now)
 	for _, m := range r.members {
 		m.status = mayRun
@@ -117,8 +117,8 @@
 	return r, r.tick(now)
 }
 
-// Resume takes over a stop that an earlier scheduler had recorded.
-func Resume(g workerapi.Gang, workers []string, order StopOrder, now time.Time) (*Run, []Action) {
+// ResumeStop takes over a stop that an earlier scheduler had recorded.
+func ResumeStop(g workerapi.Gang, workers []string, order StopRequest, now time.Time) (*Run, []Action) {
 	r := newRun(g, workers, Stopping, now)
 	for _, m := range r.members {
 		m.status = mayRun
@@ -127,10 +127,10 @@
 	return r, r.tick(now)
 }
 
-func (r *Run) record(state job.State, reason string) Record {
+func (r *Run) record(state job.State, reason string) RecordState {
 	r.asked = state
 	saved := r.all(func(m *member) bool { return m.saved })
-	return Record{State: state, Reason: reason, Failed: r.failed, Suspect: r.suspect, Saved: saved}
+	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspect, Checkpointed: saved}
 }
 
 func (r *Run) enter(p Phase, now time.Time) {
@@ -166,13 +166,13 @@
 		return r.onReserved(now, e)
 	case Started:
 		return r.onStarted(now, e)
-	case Listed:
+	case TasksListed:
 		return r.onListed(now, e)
-	case StopOrder:
+	case StopRequest:
 		return r.onOrder(now, e)
 	case Checkpointed:
 		return r.onCheckpointed(now, e)
-	case Lost:
+	case WorkerLost:
 		return r.onLost(now, e)
 	case Stopped:
 		return r.onStopped(now, e)
@@ -192,15 +192,15 @@
 		return nil
 	}
 	switch r.Phase {
-	case Recording:
+	case RecordingPlacement:
 		return r.onPlaced(now, e.OK)
-	case Ordered:
+	case RecordingStop:
 		if e.OK {
 			return r.save(now)
 		}
 	case Running:
 		r.told = e.OK
-	case Closing:
+	case RecordingOutcome:
 		if e.OK {
 			r.enter(Ended, now)
 		}
@@ -221,23 +221,23 @@
 func (r *Run) tick(now time.Time) []Action {
 	switch r.Phase {
 	case Reserving, Starting:
-		if now.Sub(r.since) >= 2*Hold {
+		if now.Sub(r.since) >= 2*ReservationTTL {
 			return r.fail(now, "the gang's start took too long")
 		}
 	case Adopting:
 		return r.tickAdopting(now)
 	case Running:
 		return r.tickRunning(now)
-	case Ordered:
+	case RecordingStop:
 		return r.again(now, job.Stopping, r.order.Reason)
-	case Saving:
+	case Checkpointing:
 		if now.Sub(r.since) >= r.order.Grace {
 			return r.stop(now)
 		}
 	case Stopping:
 		return r.tickStopping(now)
-	case Closing:
-		return r.again(now, r.order.Next, r.order.Reason)
+	case RecordingOutcome:
+		return r.again(now, r.order.NextState, r.order.Reason)
 	}
 	return nil
 }
--- a/gang/run_start.go
+++ b/gang/run_start.go
@@ -83,9 +83,9 @@
 }
 
 // onListed compares what a worker holds with what it should.
-func (r *Run) onListed(now time.Time, e Listed) []Action {
+func (r *Run) onListed(now time.Time, e TasksListed) []Action {
 	m := r.member(e.Worker)
-	if m == nil || !e.Known || (r.Phase != Running && r.Phase != Adopting) {
+	if m == nil || !e.Answered || (r.Phase != Running && r.Phase != Adopting) {
 		return nil
 	}
 	m.known = true
@@ -113,7 +113,7 @@
 	return r.settle(now)
 }
 
-func (r *Run) onLost(now time.Time, e Lost) []Action {
+func (r *Run) onLost(now time.Time, e WorkerLost) []Action {
 	m := r.member(e.Worker)
 	if m == nil || m.status == finished || r.Phase != Running {
 		return nil
@@ -130,7 +130,7 @@
 // settle ends a run whose tasks all finished, and takes over a whole gang.
 func (r *Run) settle(now time.Time) []Action {
 	if r.all(func(m *member) bool { return m.status == finished }) {
-		r.order = StopOrder{Next: job.Finished}
+		r.order = StopRequest{NextState: job.Finished}
 		return r.close(now)
 	}
 	if r.Phase == Adopting && r.all(func(m *member) bool { return m.known }) {
@@ -144,7 +144,7 @@
 	if !r.checked && now.Sub(r.since) >= confirmAfter {
 		r.checked = true
 		for _, m := range r.members {
-			out = append(out, List{Worker: m.worker})
+			out = append(out, ListTasks{Worker: m.worker})
 		}
 	}
 	if !r.told {
@@ -164,7 +164,7 @@
 	var out []Action
 	for _, m := range r.members {
 		if !m.known {
-			out = append(out, List{Worker: m.worker})
+			out = append(out, ListTasks{Worker: m.worker})
 		}
 	}
 	return out
--- a/gang/run_stop.go
+++ b/gang/run_stop.go
@@ -6,26 +6,26 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-func (r *Run) onOrder(now time.Time, e StopOrder) []Action {
+func (r *Run) onOrder(now time.Time, e StopRequest) []Action {
 	switch r.Phase {
 	case Running:
 		r.order = e
-		r.enter(Ordered, now)
+		r.enter(RecordingStop, now)
 		r.next = now.Add(callPatience)
 		return []Action{r.record(job.Stopping, e.Reason)}
 	case Reserving, Starting:
 		r.order = e
 		return r.stop(now)
-	case Ordered, Saving, Stopping:
+	case RecordingStop, Checkpointing, Stopping:
 		r.strengthen(e)
 	}
 	return nil
 }
 
 // strengthen lets a later order end a job that would have run again.
-func (r *Run) strengthen(e StopOrder) {
-	if r.order.Next == job.Queued && e.Next.Terminal() {
-		r.order.Next, r.order.Reason = e.Next, e.Reason
+func (r *Run) strengthen(e StopRequest) {
+	if r.order.NextState == job.Queued && e.NextState.Terminal() {
+		r.order.NextState, r.order.Reason = e.NextState, e.Reason
 	}
 }
 
@@ -33,7 +33,7 @@
 	if r.order.Grace <= 0 {
 		return r.stop(now)
 	}
-	r.enter(Saving, now)
+	r.enter(Checkpointing, now)
 	var out []Action
 	for _, m := range r.members {
 		out = append(out, Checkpoint{Worker: m.worker, Grace: r.order.Grace})
@@ -43,7 +43,7 @@
 
 func (r *Run) onCheckpointed(now time.Time, e Checkpointed) []Action {
 	m := r.member(e.Worker)
-	if m == nil || r.Phase != Saving || !e.OK {
+	if m == nil || r.Phase != Checkpointing || !e.OK {
 		return nil
 	}
 	m.saved = true
@@ -56,8 +56,8 @@
 // fail ends the run because it can not be whole. It runs again unless an
 // earlier order says otherwise; the scheduler counts failures.
 func (r *Run) fail(now time.Time, reason string) []Action {
-	if r.order.Next == "" {
-		r.order = StopOrder{Next: job.Queued, Reason: reason}
+	if r.order.NextState == "" {
+		r.order = StopRequest{NextState: job.Queued, Reason: reason}
 	}
 	return r.stop(now)
 }
@@ -104,15 +104,15 @@
 }
 
 func (r *Run) close(now time.Time) []Action {
-	r.enter(Closing, now)
+	r.enter(RecordingOutcome, now)
 	r.next = now.Add(callPatience)
-	return []Action{r.record(r.order.Next, r.order.Reason)}
+	return []Action{r.record(r.order.NextState, r.order.Reason)}
 }
 
 // lapsed tells whether leases that were not confirmed as stopped have surely
 // ended: nobody renews them, and a start under way has lost its reservation.
 func (r *Run) lapsed(now time.Time) bool {
-	return !r.fenced.IsZero() && !now.Before(r.fenced.Add(Hold+Lease+lapseMargin))
+	return !r.fenced.IsZero() && !now.Before(r.fenced.Add(ReservationTTL+LeaseDuration+lapseMargin))
 }
 
 func (r *Run) tickStopping(now time.Time) []Action {
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -49,7 +49,7 @@
 
 func (o Options) withDefaults() Options {
 	if o.Workers == nil {
-		o.Workers = NewHTTPWorkers()
+		o.Workers = NewHTTPWorkerCaller()
 	}
 	if o.Decide == nil {
 		o.Decide = placement.Decide
@@ -140,7 +140,7 @@
 	s.loop(ctx)
 	wg.Wait()
 	s.tasks.Wait()
-	if h, ok := s.o.Workers.(*HTTPWorkers); ok {
+	if h, ok := s.o.Workers.(*HTTPWorkerCaller); ok {
 		h.Close()
 	}
 	return nil
--- a/gang/view.go
+++ b/gang/view.go
@@ -49,7 +49,7 @@
 		Urgent:       rec.Spec.Urgent,
 		Checkpoint:   rec.Spec.Checkpoint,
 		Guaranteed:   rec.Guaranteed,
-		Stopping:     t.run.Phase >= Ordered,
+		Stopping:     t.run.Phase >= RecordingStop,
 		Started:      rec.Started,
 		Checkpointed: rec.Checkpointed,
 		DeclaredRun:  rec.Spec.DeclaredRun,
--- a/gang/world_test.go
+++ b/gang/world_test.go
@@ -24,7 +24,7 @@
 	faultKinds   = 8
 	worldSeeds   = 150
 	// A partial gang lasts at most a lease, one renewal and what is under way.
-	partialBound = Lease + RenewEvery + 2*maxTransit + 2*time.Second
+	partialBound = LeaseDuration + RenewInterval + 2*maxTransit + 2*time.Second
 )
 
 type timed struct {
@@ -53,7 +53,7 @@
 
 // worldHost is an entry host: renewals always, a scheduler while it has a term.
 type worldHost struct {
-	core    *Renewals
+	core    *RenewalPlanner
 	roster  map[string]job.Record // ledger as last seen
 	dead    bool
 	paused  time.Time // frozen until then
@@ -106,9 +106,9 @@
 		}))
 	}
 	for i := range w.hosts {
-		w.hosts[i] = &worldHost{core: NewRenewals(), runs: make(map[string]*Run)}
+		w.hosts[i] = &worldHost{core: NewRenewalPlanner(), runs: make(map[string]*Run)}
 		w.every(time.Second, func() { w.cycle(i) })
-		w.every(RenewEvery, func() { w.renew(i) })
+		w.every(RenewInterval, func() { w.renew(i) })
 		w.every(500*time.Millisecond, func() { w.refresh(i) })
 	}
 	// Each seed has faults of some kinds only, so that they last and meet.
@@ -206,7 +206,7 @@
 func (w *world) held(h *worldHost) bool { return h.term != 0 && w.now.Before(h.until) }
 
 func (w *world) permitted(h *worldHost, term uint64) bool {
-	return w.held(h) && h.term == term && !h.outSeen && w.now.Sub(h.asked) <= PermitAge
+	return w.held(h) && h.term == term && !h.outSeen && w.now.Sub(h.asked) <= MaxConfigAge
 }
 
 func (w *world) act(i int, g workerapi.Gang, actions []Action) {
@@ -235,7 +235,7 @@
 	h := w.hosts[i]
 	req := workerapi.GangRequest{Term: term, Gang: g}
 	switch a := a.(type) {
-	case Record:
+	case RecordState:
 		post(w.write(h, g, term, a))
 	case Reserve:
 		if !w.permitted(h, term) {
@@ -243,7 +243,7 @@
 			return
 		}
 		w.message(i, number(a.Worker), func(s *worker.Server) Event {
-			r := s.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: a.Tasks, AcceleratorsPerTask: 1, TTL: Hold})
+			r := s.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: a.Tasks, AcceleratorsPerTask: 1, TTL: ReservationTTL})
 			return Reserved{Worker: a.Worker, Code: r.Code}
 		}, Reserved{Worker: a.Worker}, post)
 	case Start:
@@ -253,14 +253,14 @@
 		}
 		size := w.ledger[g.Job].Spec.Shape.Tasks
 		w.message(i, number(a.Worker), func(s *worker.Server) Event {
-			r := s.Start(workerapi.StartRequest{Term: term, Gang: g, Tasks: a.Tasks, Size: size, Lease: Lease})
+			r := s.Start(workerapi.StartRequest{Term: term, Gang: g, Tasks: a.Tasks, Size: size, Lease: LeaseDuration})
 			w.checkStart(r.Code)
 			return Started{Worker: a.Worker, Sent: true, Code: r.Code}
 		}, Started{Worker: a.Worker, Sent: true}, post)
-	case List:
+	case ListTasks:
 		w.message(i, number(a.Worker), func(s *worker.Server) Event {
-			return Listed{Worker: a.Worker, Known: true, Tasks: s.Tasks().Tasks}
-		}, Listed{Worker: a.Worker}, post)
+			return TasksListed{Worker: a.Worker, Answered: true, Tasks: s.Tasks().Tasks}
+		}, TasksListed{Worker: a.Worker}, post)
 	case Checkpoint:
 		w.message(i, number(a.Worker), func(s *worker.Server) Event {
 			return Checkpointed{Worker: a.Worker, OK: s.Checkpoint(req).Code == workerapi.OK}
@@ -276,7 +276,7 @@
 				ok = false // listed, and does not answer
 				continue
 			}
-			other.core.Release(w.now, g)
+			other.core.StopRenewing(w.now, g)
 		}
 		post(Fenced{OK: ok})
 	}
@@ -284,7 +284,7 @@
 
 // write brings the ledger to a run's state. The answer may be lost after the
 // write took effect.
-func (w *world) write(h *worldHost, g workerapi.Gang, term uint64, a Record) Recorded {
+func (w *world) write(h *worldHost, g workerapi.Gang, term uint64, a RecordState) Recorded {
 	if w.down || h.cut {
 		return Recorded{State: a.State}
 	}
@@ -342,7 +342,7 @@
 				if run.Phase == Ended {
 					delete(h.runs, key)
 				} else if h.outSeen || (!w.calm && w.rng.Intn(60) == 0) {
-					w.act(i, run.Gang, run.Step(w.now, StopOrder{Next: job.Queued, Grace: graceOf(rec)}))
+					w.act(i, run.Gang, run.Step(w.now, StopRequest{NextState: job.Queued, Grace: graceOf(rec)}))
 				}
 			case live(rec.State):
 				run, actions := adopt(g, rec, w.now)
@@ -354,7 +354,7 @@
 				for _, k := range w.rng.Perm(worldWorkers)[:rec.Spec.Shape.Tasks] {
 					workers = append(workers, fmt.Sprint(k))
 				}
-				run, actions := Place(g, workers, w.now)
+				run, actions := NewRun(g, workers, w.now)
 				h.runs[key] = run
 				w.act(i, g, actions)
 			}
@@ -367,35 +367,35 @@
 func (w *world) renew(i int) {
 	h := w.hosts[i]
 	w.onHost(i, h, func() {
-		var roster []RosterGang
+		var roster []AssignedGang
 		for _, key := range sortedKeys(h.roster) {
 			rec := h.roster[key]
 			if rec.State == job.Placed || rec.State == job.Running {
 				g := workerapi.Gang{Job: key, Generation: rec.Generation}
-				roster = append(roster, RosterGang{Gang: g, Workers: distinct(rec.Workers)})
+				roster = append(roster, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
 			}
 		}
-		h.core.SetRoster(w.now, roster)
-		batches, lost := h.core.Tick(w.now)
+		h.core.SetAssigned(w.now, roster)
+		batches, lost := h.core.PlanRound(w.now)
 		w.observe(i, lost)
 		w.send(i, batches)
-		w.send(i, h.core.Again())
+		w.send(i, h.core.PlanSecondPass())
 	})
 }
 
-func (w *world) send(i int, batches []Batch) {
+func (w *world) send(i int, batches []RenewalBatch) {
 	for _, b := range batches {
 		k := number(b.Worker)
 		if w.links[i][k] || w.lost() {
 			continue
 		}
-		req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: Lease}
+		req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: LeaseDuration}
 		if b.Probe {
 			req.Lease = 0
 		}
 		reply := w.workers[k].Renew(req)
 		if !w.lost() {
-			w.observe(i, w.hosts[i].core.Answer(w.now, b, reply))
+			w.observe(i, w.hosts[i].core.HandleReply(w.now, b, reply))
 		}
 	}
 }
@@ -411,9 +411,9 @@
 			if run == nil || run.Gang != o.Gang || h.dead || !w.held(h) {
 				continue
 			}
-			e := Event(Listed{Worker: o.Worker, Known: true, Tasks: o.Tasks})
+			e := Event(TasksListed{Worker: o.Worker, Answered: true, Tasks: o.Tasks})
 			if o.Unreachable {
-				e = Lost{Worker: o.Worker}
+				e = WorkerLost{Worker: o.Worker}
 			}
 			w.act(i, o.Gang, run.Step(w.now, e))
 		}
@@ -427,7 +427,7 @@
 	case 0:
 		w.hosts[i].paused = w.now.Add(time.Duration(w.rng.Intn(40)) * time.Second)
 	case 1: // the host dies and comes back with nothing
-		w.hosts[i] = &worldHost{core: NewRenewals(), runs: make(map[string]*Run)}
+		w.hosts[i] = &worldHost{core: NewRenewalPlanner(), runs: make(map[string]*Run)}
 	case 2:
 		w.links[i][k] = !w.links[i][k]
 	case 3:
