--- a/gang/effects.go
+++ b/gang/actions.go
@@ -9,22 +9,22 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// act starts what a run asks for. Each action runs beside the loop and posts
+// executeActions starts what a run asks for. Each action runs beside the loop and posts
 // its answer back as an event.
-func (s *Scheduler) act(ctx context.Context, t *tracked, actions []Action) {
+func (s *Scheduler) executeActions(ctx context.Context, t *trackedRun, actions []Action) {
 	for _, a := range actions {
 		if r, ok := a.(RecordState); ok {
-			s.learn(t, r)
-			r.FatalReason = t.fatal
+			s.recordOutcome(t, r)
+			r.FatalReason = t.fatalReason
 			a = r
 		}
-		e := effect{s: s, gang: t.run.Gang, term: s.term, record: t.record, workers: t.run.Workers}
-		s.tasks.Go(func() { e.do(ctx, a) })
+		e := actionCall{s: s, gang: t.run.Gang, term: s.term, record: t.record, workers: t.run.Workers}
+		s.ioCalls.Go(func() { e.execute(ctx, a) })
 	}
 }
 
-// effect is the I/O of one action. It holds copies only.
-type effect struct {
+// actionCall is the I/O of one action. It holds copies only.
+type actionCall struct {
 	s       *Scheduler
 	gang    workerapi.Gang
 	term    uint64
@@ -32,64 +32,64 @@
 	workers []string
 }
 
-func (e effect) post(ctx context.Context, ev Event) {
+func (e actionCall) postEvent(ctx context.Context, ev Event) {
 	select {
-	case e.s.events <- delivery{gang: e.gang, term: e.term, event: ev}:
+	case e.s.events <- runEvent{gang: e.gang, term: e.term, event: ev}:
 	case <-ctx.Done():
 	}
 }
 
-func (e effect) do(ctx context.Context, a Action) {
+func (e actionCall) execute(ctx context.Context, a Action) {
 	ctx = telemetry.WithTraceParent(ctx, e.record.TraceParent)
 	switch a := a.(type) {
 	case RecordState:
-		e.post(ctx, e.write(ctx, a))
+		e.postEvent(ctx, e.writeState(ctx, a))
 	case Reserve:
-		e.post(ctx, e.reserve(ctx, a))
+		e.postEvent(ctx, e.reserve(ctx, a))
 	case Start:
-		e.post(ctx, e.start(ctx, a))
+		e.postEvent(ctx, e.start(ctx, a))
 	case ListTasks:
-		e.post(ctx, e.list(ctx, a))
+		e.postEvent(ctx, e.listTasks(ctx, a))
 	case Checkpoint:
-		e.post(ctx, e.checkpoint(ctx, a))
+		e.postEvent(ctx, e.checkpoint(ctx, a))
 	case Stop:
-		e.post(ctx, e.stop(ctx, a))
+		e.postEvent(ctx, e.stop(ctx, a))
 	case Fence:
-		e.post(ctx, Fenced{OK: e.s.renewer.fence(ctx, e.gang)})
+		e.postEvent(ctx, Fenced{OK: e.s.renewer.fenceGang(ctx, e.gang)})
 	}
 }
 
-// call sends a message to a worker and notes whether it answered.
-func (e effect) call(ctx context.Context, worker, path string, args, reply any) error {
-	address, err := e.s.address(worker)
+// callWorker sends a message to a worker and notes whether it answered.
+func (e actionCall) callWorker(ctx context.Context, worker, path string, args, reply any) error {
+	address, err := e.s.workerAddress(worker)
 	if err == nil {
 		err = e.s.o.Workers.Call(ctx, address, path, args, reply)
 	}
 	if ctx.Err() == nil {
-		e.s.noteAnswer(worker, err == nil)
+		e.s.trackAnswer(worker, err == nil)
 	}
 	return err
 }
 
-func (s *Scheduler) noteAnswer(worker string, answered bool) {
+func (s *Scheduler) trackAnswer(worker string, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if answered {
-		delete(s.silent, worker)
+		delete(s.unanswered, worker)
 		return
 	}
-	s.silent[worker] = s.o.Now()
+	s.unanswered[worker] = s.o.Now()
 }
 
-func (s *Scheduler) address(worker string) (string, error) {
-	address, listed := workerAddress(s.o, worker)
+func (s *Scheduler) workerAddress(worker string) (string, error) {
+	address, listed := findWorkerAddress(s.o, worker)
 	if !listed {
 		return "", apierr.New(apierr.Unavailable, "worker "+worker+" is not listed", "wait until the host list has it again")
 	}
 	return address, nil
 }
 
-func (e effect) reserve(ctx context.Context, a Reserve) Reserved {
+func (e actionCall) reserve(ctx context.Context, a Reserve) Reserved {
 	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
 		return Reserved{Worker: a.Worker, Code: workerapi.Refused, Reason: err.Error()}
 	}
@@ -98,43 +98,43 @@
 		AcceleratorsPerTask: e.record.Spec.Shape.AcceleratorsPerTask,
 	}
 	var reply workerapi.ReserveReply
-	if err := e.call(ctx, a.Worker, workerapi.PathReserve, req, &reply); err != nil {
+	if err := e.callWorker(ctx, a.Worker, workerapi.PathReserve, req, &reply); err != nil {
 		return Reserved{Worker: a.Worker, Reason: err.Error()}
 	}
 	return Reserved{Worker: a.Worker, Code: reply.Code, Reason: reply.Reason}
 }
 
 // start checks the permit as the last thing before the message leaves.
-func (e effect) start(ctx context.Context, a Start) Started {
+func (e actionCall) start(ctx context.Context, a Start) Started {
 	req := workerapi.StartRequest{
 		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Size: len(e.workers),
 		Service: e.record.Spec.ID.Service, Template: e.record.Spec.Template,
-		WorkerAddresses: e.addresses(), Lease: LeaseDuration,
+		WorkerAddresses: e.workerAddresses(), Lease: LeaseDuration,
 	}
 	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
-		e.s.meters.refused.Inc()
+		e.s.metrics.permitsRefused.Inc()
 		return Started{Worker: a.Worker, Reason: err.Error()}
 	}
 	var reply workerapi.Reply
-	if err := e.call(ctx, a.Worker, workerapi.PathStart, req, &reply); err != nil {
+	if err := e.callWorker(ctx, a.Worker, workerapi.PathStart, req, &reply); err != nil {
 		return Started{Worker: a.Worker, Sent: true, Reason: err.Error()}
 	}
 	return Started{Worker: a.Worker, Sent: true, Code: reply.Code, Reason: reply.Reason}
 }
 
-func (e effect) addresses() []string {
+func (e actionCall) workerAddresses() []string {
 	out := make([]string, len(e.workers))
 	for i, w := range e.workers {
-		out[i], _ = e.s.address(w)
+		out[i], _ = e.s.workerAddress(w)
 	}
 	return out
 }
 
-// list asks what a worker holds. Runs that ask together share one call.
-func (e effect) list(ctx context.Context, a ListTasks) TasksListed {
-	tasks, err, _ := e.s.lists.Do(a.Worker, func() (any, error) {
+// listTasks asks what a worker holds. Runs that ask together share one call.
+func (e actionCall) listTasks(ctx context.Context, a ListTasks) TasksListed {
+	tasks, err, _ := e.s.taskListings.Do(a.Worker, func() (any, error) {
 		var reply workerapi.TasksReply
-		err := e.call(ctx, a.Worker, workerapi.PathTasks, nil, &reply)
+		err := e.callWorker(ctx, a.Worker, workerapi.PathTasks, nil, &reply)
 		return reply.Tasks, err
 	})
 	listed := TasksListed{Worker: a.Worker, Answered: err == nil}
@@ -144,22 +144,22 @@
 	return listed
 }
 
-func (e effect) request(reason string) workerapi.GangRequest {
+func (e actionCall) gangRequest(reason string) workerapi.GangRequest {
 	return workerapi.GangRequest{Term: e.term, Gang: e.gang, Reason: reason}
 }
 
-func (e effect) checkpoint(ctx context.Context, a Checkpoint) Checkpointed {
-	req := e.request("")
+func (e actionCall) checkpoint(ctx context.Context, a Checkpoint) Checkpointed {
+	req := e.gangRequest("")
 	req.Grace = a.Grace
 	var reply workerapi.Reply
-	err := e.call(ctx, a.Worker, workerapi.PathCheckpoint, req, &reply)
+	err := e.callWorker(ctx, a.Worker, workerapi.PathCheckpoint, req, &reply)
 	return Checkpointed{Worker: a.Worker, OK: err == nil && reply.Code == workerapi.OK}
 }
 
 // stop is confirmed when the worker stopped the gang or does not know it.
-func (e effect) stop(ctx context.Context, a Stop) Stopped {
+func (e actionCall) stop(ctx context.Context, a Stop) Stopped {
 	var reply workerapi.Reply
-	err := e.call(ctx, a.Worker, workerapi.PathStop, e.request(a.Reason), &reply)
+	err := e.callWorker(ctx, a.Worker, workerapi.PathStop, e.gangRequest(a.Reason), &reply)
 	ok := err == nil && (reply.Code == workerapi.OK || reply.Code == workerapi.UnknownGang)
 	return Stopped{Worker: a.Worker, OK: ok}
 }
--- a/gang/roster.go
+++ b/gang/assignment.go
@@ -11,20 +11,20 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// roster lists the gangs of this host's share. A host that has never read the
+// assignedGangs lists the gangs of this host's share. A host that has never read the
 // ledger asks the workers instead.
-func (r *renewer) roster(ctx context.Context) (out []AssignedGang) {
+func (r *renewer) assignedGangs(ctx context.Context) (out []AssignedGang) {
 	records, _, complete := r.o.Ledger.Snapshot()
 	if !complete {
-		return r.listed(ctx)
+		return r.gangsFromWorkers(ctx)
 	}
-	share := newShares(r.o)
+	assignment := newGangAssignment(r.o)
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
 		if (rec.State != job.Placed && rec.State != job.Running) || len(rec.Workers) == 0 {
 			continue
 		}
-		if share.mine(rec.Workers[0]) {
+		if assignment.assignedToSelf(rec.Workers[0]) {
 			g := workerapi.Gang{Job: key, Generation: rec.Generation}
 			out = append(out, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
 		}
@@ -32,8 +32,8 @@
 	return out
 }
 
-// listed builds the roster from what the workers run: whole gangs only.
-func (r *renewer) listed(ctx context.Context) []AssignedGang {
+// gangsFromWorkers builds the roster from what the workers run: whole gangs only.
+func (r *renewer) gangsFromWorkers(ctx context.Context) []AssignedGang {
 	var mu sync.Mutex
 	found := make(map[workerapi.Gang]map[int]string)
 	size := make(map[workerapi.Gang]int)
@@ -60,10 +60,10 @@
 		})
 	}
 	_ = g.Wait()
-	share := newShares(r.o)
+	assignment := newGangAssignment(r.o)
 	var out []AssignedGang
 	for gang, tasks := range found {
-		if len(tasks) != size[gang] || !share.mine(tasks[0]) {
+		if len(tasks) != size[gang] || !assignment.assignedToSelf(tasks[0]) {
 			continue
 		}
 		workers := make([]string, len(tasks))
@@ -87,17 +87,17 @@
 	return out
 }
 
-// shares splits gangs over the live entry hosts by the rack of their first
+// gangAssignment splits gangs over the live entry hosts by the rack of their first
 // worker, so that most workers hear from one entry host only.
-type shares struct {
+type gangAssignment struct {
 	self  string
 	hosts []string
 	racks map[string]string // worker to rack
 }
 
-func newShares(o Options) shares {
+func newGangAssignment(o Options) gangAssignment {
 	view := o.Membership.View()
-	sh := shares{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
+	sh := gangAssignment{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
 	for _, h := range view.Neighbours() {
 		sh.hosts = append(sh.hosts, h.Name)
 	}
@@ -107,8 +107,8 @@
 	return sh
 }
 
-// mine tells whether this host has the highest rendezvous hash for the rack.
-func (sh shares) mine(worker string) bool {
+// assignedToSelf tells whether this host has the highest rendezvous hash for the rack.
+func (sh gangAssignment) assignedToSelf(worker string) bool {
 	rack := sh.racks[worker]
 	if rack == "" {
 		rack = worker
--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -75,12 +75,12 @@
 func newBenchDomain(b *testing.B, gangTasks int) *benchDomain {
 	d := &benchDomain{}
 	d.snap.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}}
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerWorker}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerWorker}
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &d.bytes}, err
 	}
-	d.calls = &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
+	d.calls = &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
 	store := httptest.NewServer(kv.New())
 	b.Cleanup(store.Close)
 	ledgers := ledger.New(ledger.Options{Store: kvstore.NewClient(store.URL), Gap: time.Millisecond})
@@ -158,10 +158,10 @@
 				for h := range benchHosts {
 					d.view.Self = d.view.Hosts[h]
 					r := newRenewer(d.options(), func(Observation) {})
-					r.renewOnce(context.Background()) // the first round probes
-					bytes, sent := d.bytes.Load(), r.sent.Get()
-					r.renewOnce(context.Background())
-					n, m := float64(d.bytes.Load()-bytes), float64(r.sent.Get()-sent)
+					r.renewRound(context.Background()) // the first round probes
+					bytes, sent := d.bytes.Load(), r.renewalsSent.Get()
+					r.renewRound(context.Background())
+					n, m := float64(d.bytes.Load()-bytes), float64(r.renewalsSent.Get()-sent)
 					all, most = all+n, max(most, n)
 					messages, mostMessages = messages+m, max(mostMessages, m)
 				}
@@ -207,7 +207,7 @@
 			s.Cycle(ctx)
 			deadline := time.Now().Add(3 * time.Second)
 			for time.Now().Before(deadline) { // adoption
-				s.drain(ctx)
+				s.deliverEvents(ctx)
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -215,9 +215,9 @@
 			}
 			b.StopTimer()
 			for range 20 {
-				s.drain(ctx)
+				s.deliverEvents(ctx)
 			}
-			s.tasks.Wait()
+			s.ioCalls.Wait()
 		})
 	}
 }
--- a/gang/client.go
+++ b/gang/client.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	workerTimeout  = time.Second // of one message to a worker
-	maxWorkerReply = 1 << 20     // bytes
-	idlePerWorker  = 2           // connections
+	workerCallTimeout     = time.Second // of one message to a worker
+	maxWorkerReplyBytes   = 1 << 20     // bytes
+	maxIdleConnsPerWorker = 2           // connections
 )
 
 // WorkerCaller sends one message to the worker at an address. reply is a
@@ -36,11 +36,11 @@
 // NewHTTPWorkerCaller returns a caller with its own connections.
 func NewHTTPWorkerCaller() *HTTPWorkerCaller {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: workerTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerWorker,
+		DialContext:         (&net.Dialer{Timeout: workerCallTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConnsPerWorker,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
+	return &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
 }
 
 // Close drops idle connections.
@@ -50,7 +50,7 @@
 func (h *HTTPWorkerCaller) Call(ctx context.Context, address, path string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
-	req, err := newRequest(ctx, address, path, args)
+	req, err := newWorkerRequest(ctx, address, path, args)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWorkerReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWorkerReplyBytes))
 	if err != nil {
 		return errors.Wrap(err, "reading the worker's answer")
 	}
@@ -69,7 +69,7 @@
 	return errors.Wrap(json.Unmarshal(body, reply), "reading the worker's answer")
 }
 
-func newRequest(ctx context.Context, address, path string, args any) (*http.Request, error) {
+func newWorkerRequest(ctx context.Context, address, path string, args any) (*http.Request, error) {
 	target := "http://" + address + path
 	if path == workerapi.PathTasks {
 		return http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -18,10 +18,10 @@
 // or a test without one, calls it.
 func (s *Scheduler) Cycle(ctx context.Context) {
 	began := time.Now()
-	defer func() { s.meters.cycle.Update(time.Since(began).Seconds()) }()
+	defer func() { s.metrics.cycleSeconds.Update(time.Since(began).Seconds()) }()
 	now := s.o.Now()
 	s.wakeAt = time.Time{}
-	if !s.holdTerm(now) {
+	if !s.syncTerm(now) {
 		return
 	}
 	records, _, complete := s.o.Ledger.Snapshot()
@@ -29,66 +29,66 @@
 		return
 	}
 	snap, _ := s.o.Config.Current()
-	s.reconcile(ctx, now, records)
-	s.replay(ctx)
-	s.tick(ctx)
-	s.order(ctx, now, records, snap)
-	s.decide(ctx, now, records, snap)
-	s.forget(records)
-	s.saveLearnt(now)
+	s.adoptRuns(ctx, now, records)
+	s.applyObservations(ctx)
+	s.tickRuns(ctx)
+	s.applyStopRequests(ctx, now, records, snap)
+	s.decidePlacement(ctx, now, records, snap)
+	s.pruneObservations(records)
+	s.saveEstimates(now)
 }
 
-// holdTerm drops everything held under another term than the present one.
-func (s *Scheduler) holdTerm(now time.Time) bool {
+// syncTerm drops everything held under another term than the present one.
+func (s *Scheduler) syncTerm(now time.Time) bool {
 	term, until, held := s.o.Election.Term()
 	held = held && now.Before(until)
 	if held && term == s.term {
 		return true
 	}
-	s.runs = make(map[string]*tracked)
+	s.runs = make(map[string]*trackedRun)
 	s.term = 0
 	if !held {
 		return false
 	}
 	s.term = term
-	s.loadLearnt()
+	s.loadEstimates()
 	s.o.Logger.Info("scheduling the failure domain", "failureDomain", s.o.FailureDomain, "term", term)
 	return true
 }
 
-// reconcile adopts what the ledger has as live and no run here knows.
-func (s *Scheduler) reconcile(ctx context.Context, now time.Time, records map[string]job.Record) {
+// adoptRuns adopts what the ledger has as live and no run here knows.
+func (s *Scheduler) adoptRuns(ctx context.Context, now time.Time, records map[string]job.Record) {
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
-		if t := s.runs[key]; t != nil && t.run.outrun(rec) {
+		if t := s.runs[key]; t != nil && t.run.isObsolete(rec) {
 			delete(s.runs, key)
 		}
-		if !live(rec.State) || s.runs[key] != nil {
+		if !isLive(rec.State) || s.runs[key] != nil {
 			continue
 		}
 		g := workerapi.Gang{Job: key, Generation: rec.Generation}
-		run, actions := adopt(g, rec, now)
-		t := &tracked{run: run, record: rec}
+		run, actions := adoptRecorded(g, rec, now)
+		t := &trackedRun{run: run, record: rec}
 		s.runs[key] = t
-		s.meters.adopted.Inc()
-		s.act(ctx, t, actions)
+		s.metrics.gangsAdopted.Inc()
+		s.executeActions(ctx, t, actions)
 	}
 }
 
-// replay gives the runs what renewals taught. Repeating it is harmless.
-func (s *Scheduler) replay(ctx context.Context) {
+// applyObservations gives the runs what renewals taught. Repeating it is harmless.
+func (s *Scheduler) applyObservations(ctx context.Context) {
 	s.mu.Lock()
-	var learned []Observation
+	var observations []Observation
 	for _, t := range s.runs {
-		seen := s.seen[t.run.Gang]
+		seen := s.observations[t.run.Gang]
 		for _, w := range sortedKeys(seen) {
-			learned = append(learned, seen[w])
+			observations = append(observations, seen[w])
 		}
 	}
 	s.mu.Unlock()
-	for _, o := range learned {
+	for _, o := range observations {
 		if t := s.runs[o.Gang.Job]; t != nil && t.run.Gang == o.Gang {
-			s.step(ctx, t, o.event())
+			s.stepRun(ctx, t, o.event())
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	return TasksListed{Worker: o.Worker, Answered: true, Tasks: o.Tasks}
 }
 
-func adopt(g workerapi.Gang, rec job.Record, now time.Time) (*Run, []Action) {
+func adoptRecorded(g workerapi.Gang, rec job.Record, now time.Time) (*Run, []Action) {
 	if rec.State != job.Stopping {
 		return AdoptRun(g, rec.Workers, now)
 	}
@@ -112,7 +112,7 @@
 	return ResumeStop(g, rec.Workers, order, now)
 }
 
-func live(s job.State) bool { return s == job.Placed || s == job.Running || s == job.Stopping }
+func isLive(s job.State) bool { return s == job.Placed || s == job.Running || s == job.Stopping }
 
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
@@ -123,38 +123,38 @@
 	return keys
 }
 
-func (s *Scheduler) tick(ctx context.Context) {
+func (s *Scheduler) tickRuns(ctx context.Context) {
 	for _, key := range sortedKeys(s.runs) {
 		if t := s.runs[key]; t != nil {
-			s.step(ctx, t, Tick{})
+			s.stepRun(ctx, t, Tick{})
 		}
 	}
 }
 
-// order ends what operators or callers want ended.
-func (s *Scheduler) order(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
+// applyStopRequests ends what operators or callers want ended.
+func (s *Scheduler) applyStopRequests(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
 		if rec.State.Terminal() || rec.State == job.Moved {
 			continue
 		}
-		next, reason, wanted := s.wanted(rec, snap)
+		next, reason, wanted := s.stopReason(rec, snap)
 		if !wanted {
 			continue
 		}
 		if t := s.runs[key]; t != nil {
-			s.step(ctx, t, StopRequest{NextState: next, Reason: reason, Grace: graceOf(rec)})
+			s.stepRun(ctx, t, StopRequest{NextState: next, Reason: reason, Grace: checkpointGrace(rec)})
 			continue
 		}
 		if rec.State == job.Queued && next != job.Queued {
-			s.end(ctx, key, next, reason)
+			s.endQueued(ctx, key, next, reason)
 		}
 	}
 }
 
-// wanted tells whether a job must stop, and into which state. Only an explicit
+// stopReason tells whether a job must stop, and into which state. Only an explicit
 // retirement counts: a service that is merely missing from a read does not.
-func (s *Scheduler) wanted(rec job.Record, snap *config.Snapshot) (next job.State, reason string, ok bool) {
+func (s *Scheduler) stopReason(rec job.Record, snap *config.Snapshot) (next job.State, reason string, ok bool) {
 	if rec.CancelBy != "" {
 		return job.Cancelled, "cancelled by " + rec.CancelBy, true
 	}
@@ -168,49 +168,49 @@
 	return "", "", false
 }
 
-func graceOf(rec job.Record) time.Duration {
+func checkpointGrace(rec job.Record) time.Duration {
 	if !rec.Spec.Checkpoint || rec.CancelBy != "" {
 		return 0
 	}
 	return CheckpointGrace
 }
 
-// decide asks placement what to start and reclaim, when starts are permitted.
-func (s *Scheduler) decide(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
+// decidePlacement asks placement what to start and reclaim, when starts are permitted.
+func (s *Scheduler) decidePlacement(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
 	if err := s.permit.Check(now, s.term); err != nil {
-		s.meters.refused.Inc()
-		s.setHolds(records, nil, err.Error())
+		s.metrics.permitsRefused.Inc()
+		s.setWaitReasons(records, nil, err.Error())
 		return
 	}
-	plan := s.o.Decide(s.view(now, records, snap))
-	s.wakeAt = earlier(plan.Wake, s.quarantine.Next(now))
-	s.setHolds(records, append(plan.Holds, s.retryHolds(now, records)...), "waiting for the next decision")
+	plan := s.o.Decide(s.placementView(now, records, snap))
+	s.wakeAt = earlierTime(plan.Wake, s.quarantine.Next(now))
+	s.setWaitReasons(records, append(plan.Holds, s.retryWaits(now, records)...), "waiting for the next decision")
 	s.setDeficits(plan.Deficits)
 	for _, r := range plan.Reclaims {
-		s.reclaim(ctx, r)
+		s.reclaimRun(ctx, r)
 	}
 	for _, start := range plan.Starts {
-		s.place(ctx, now, start, records[start.ID.String()])
+		s.placeRun(ctx, now, start, records[start.ID.String()])
 	}
 }
 
-// earlier returns the earlier of two moments; a zero one is never.
-func earlier(a, b time.Time) time.Time {
+// earlierTime returns the earlierTime of two moments; a zero one is never.
+func earlierTime(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
 	}
 	return a
 }
 
-func (s *Scheduler) reclaim(ctx context.Context, r placement.Reclaim) {
+func (s *Scheduler) reclaimRun(ctx context.Context, r placement.Reclaim) {
 	t := s.runs[r.ID.String()]
 	if t == nil {
 		return
 	}
-	s.step(ctx, t, StopRequest{NextState: job.Queued, Reason: r.Reason, Grace: graceOf(t.record)})
+	s.stepRun(ctx, t, StopRequest{NextState: job.Queued, Reason: r.Reason, Grace: checkpointGrace(t.record)})
 }
 
-func (s *Scheduler) place(ctx context.Context, now time.Time, start placement.Start, rec job.Record) {
+func (s *Scheduler) placeRun(ctx context.Context, now time.Time, start placement.Start, rec job.Record) {
 	key := start.ID.String()
 	if rec.State != job.Queued || s.runs[key] != nil || len(start.Workers) != rec.Spec.Shape.Tasks {
 		return
@@ -220,13 +220,13 @@
 	rec.Guaranteed = start.Guaranteed
 	rec.Term = s.term
 	run, actions := NewRun(workerapi.Gang{Job: key, Generation: rec.Generation}, start.Workers, now)
-	t := &tracked{run: run, record: rec}
+	t := &trackedRun{run: run, record: rec}
 	s.runs[key] = t
-	s.meters.placed.Inc()
-	s.act(ctx, t, actions)
+	s.metrics.gangsPlaced.Inc()
+	s.executeActions(ctx, t, actions)
 }
 
-func (s *Scheduler) setHolds(records map[string]job.Record, holds []placement.Hold, otherwise string) {
+func (s *Scheduler) setWaitReasons(records map[string]job.Record, holds []placement.Hold, otherwise string) {
 	next := make(map[string]string, len(holds))
 	for key, rec := range records {
 		if rec.State == job.Queued {
@@ -238,7 +238,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.holds = next
+	s.waitReasons = next
 }
 
 func (s *Scheduler) setDeficits(deficits []placement.Deficit) {
@@ -256,14 +256,14 @@
 	}
 }
 
-// forget drops observations of gangs that the ledger no longer has as live.
-func (s *Scheduler) forget(records map[string]job.Record) {
+// pruneObservations drops observations of gangs that the ledger no longer has as live.
+func (s *Scheduler) pruneObservations(records map[string]job.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for g := range s.seen {
+	for g := range s.observations {
 		rec, found := records[g.Job]
-		if !found || rec.Generation > g.Generation || !live(rec.State) {
-			delete(s.seen, g)
+		if !found || rec.Generation > g.Generation || !isLive(rec.State) {
+			delete(s.observations, g)
 		}
 	}
 }
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -124,7 +124,7 @@
 		Ledger: ledger.New(ledger.Options{}).Jobs("fd1")}.withDefaults()
 	r := newRenewer(o, func(Observation) {})
 	now = now.Add(LeaseDuration - time.Second)
-	r.renewOnce(context.Background())
+	r.renewRound(context.Background())
 	now = now.Add(2 * time.Second)
 	var running []workerapi.Gang
 	for _, w := range workers {
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -19,36 +19,36 @@
 	methodSummary = peerService + ".Summary"
 )
 
-// release promises that this host renews the gang no more, and waits for
+// stopRenewing promises that this host renews the gang no more, and waits for
 // messages already under way.
-func (r *renewer) release(g workerapi.Gang) {
+func (r *renewer) stopRenewing(g workerapi.Gang) {
 	r.mu.Lock()
-	r.core.StopRenewing(r.o.Now(), g)
+	r.planner.StopRenewing(r.o.Now(), g)
 	r.mu.Unlock()
-	r.round.Lock() // waits for the present round
-	defer r.round.Unlock()
+	r.roundMu.Lock() // waits for the present round
+	defer r.roundMu.Unlock()
 }
 
-// fence gets that promise from every entry host that may renew the gang, the
+// fenceGang gets that promise from every entry host that may renew the gang, the
 // silent ones included: one that does not answer may still renew.
-func (r *renewer) fence(ctx context.Context, g workerapi.Gang) bool {
-	r.release(g)
+func (r *renewer) fenceGang(ctx context.Context, g workerapi.Gang) bool {
+	r.stopRenewing(g)
 	view := r.o.Membership.View()
 	all := true
 	for _, h := range view.Hosts {
 		if h.Kind != kvstore.EntryHost || h.FailureDomain != r.o.FailureDomain || h.Name == view.Self.Name {
 			continue
 		}
-		all = all && r.askRelease(ctx, h.PeerAddress, g)
+		all = all && r.callRelease(ctx, h.PeerAddress, g)
 	}
 	return all
 }
 
-func (r *renewer) askRelease(ctx context.Context, address string, g workerapi.Gang) bool {
+func (r *renewer) callRelease(ctx context.Context, address string, g workerapi.Gang) bool {
 	if r.o.Peers == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*peerCallTimeout)
 	defer cancel()
 	return r.o.Peers.Call(ctx, address, methodRelease, g, &Ack{}) == nil
 }
@@ -71,14 +71,14 @@
 
 // Release promises to renew a gang no more.
 func (p *peerMethods) Release(g workerapi.Gang, reply *Ack) error {
-	p.s.renewer.release(g)
+	p.s.renewer.stopRenewing(g)
 	reply.OK = true
 	return nil
 }
 
 // Observe takes what another entry host's renewals taught.
-func (p *peerMethods) Observe(learned []Observation, reply *Ack) error {
-	for _, o := range learned {
+func (p *peerMethods) Observe(observations []Observation, reply *Ack) error {
+	for _, o := range observations {
 		p.s.Observe(o)
 	}
 	reply.OK = true
--- a/gang/records.go
+++ b/gang/records.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// recordTimeout bounds one write of a run's state to the ledger.
-	recordTimeout = 4 * time.Second
+	// recordWriteTimeout bounds one write of a run's state to the ledger.
+	recordWriteTimeout = 4 * time.Second
 	// defaultMaxFailures applies when the template gives none.
 	defaultMaxFailures = 3
 )
@@ -21,9 +21,9 @@
 // a state from which the wanted one does not follow.
 var errSuperseded = errors.New("gang: the ledger has the job elsewhere; drop this run")
 
-// write brings the ledger to the run's state.
-func (e effect) write(ctx context.Context, a RecordState) Recorded {
-	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+// writeState brings the ledger to the run's state.
+func (e actionCall) writeState(ctx context.Context, a RecordState) Recorded {
+	ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
 	rec := e.record
 	now := e.s.o.Now()
@@ -52,7 +52,7 @@
 		return old, errSuperseded
 	}
 	if a.State == job.Placed {
-		return place(old, rec, now)
+		return placedRecord(old, rec, now)
 	}
 	if old.Generation != rec.Generation {
 		return old, errSuperseded
@@ -60,7 +60,7 @@
 	if old.State == a.State || (a.State == job.Queued && old.State.Terminal()) {
 		return old, nil
 	}
-	if !live(old.State) {
+	if !isLive(old.State) {
 		return old, errSuperseded
 	}
 	next := old
@@ -74,14 +74,14 @@
 	case a.State == job.Stopping:
 		next.Enter(job.Stopping, a.Reason, now)
 	case a.State == job.Queued:
-		requeue(&next, a, limit, now)
+		requeueRecord(&next, a, limit, now)
 	default:
 		next.Enter(a.State, a.Reason, now)
 	}
 	return next, nil
 }
 
-func place(old, rec job.Record, now time.Time) (job.Record, error) {
+func placedRecord(old, rec job.Record, now time.Time) (job.Record, error) {
 	if old.State == job.Placed && old.Generation == rec.Generation && old.Term == rec.Term {
 		return old, nil
 	}
@@ -96,8 +96,8 @@
 	return next, nil
 }
 
-// requeue lets a job run again, unless it was cancelled or failed too often.
-func requeue(next *job.Record, a RecordState, limit int, now time.Time) {
+// requeueRecord lets a job run again, unless it was cancelled or failed too often.
+func requeueRecord(next *job.Record, a RecordState, limit int, now time.Time) {
 	if a.Failed {
 		next.Failures++
 		next.Avoid = append(append([]string(nil), next.Avoid...), a.SuspectWorkers...)
@@ -119,15 +119,15 @@
 	}
 }
 
-// end records the end of a job that waits in the queue.
-func (s *Scheduler) end(ctx context.Context, key string, state job.State, reason string) {
-	if !s.claimWrite(key) {
+// endQueued records the endQueued of a job that waits in the queue.
+func (s *Scheduler) endQueued(ctx context.Context, key string, state job.State, reason string) {
+	if !s.beginEndWrite(key) {
 		return
 	}
 	now := s.o.Now()
-	s.tasks.Go(func() {
-		defer s.releaseWrite(key)
-		ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	s.ioCalls.Go(func() {
+		defer s.finishEndWrite(key)
+		ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 		defer cancel()
 		_, err := s.o.Ledger.Update(ctx, key, func(old job.Record, found bool) (job.Record, bool, error) {
 			if !found || old.State != job.Queued {
@@ -142,19 +142,19 @@
 	})
 }
 
-// claimWrite keeps a second write of the same job's end from starting.
-func (s *Scheduler) claimWrite(key string) bool {
+// beginEndWrite keeps a second write of the same job's end from starting.
+func (s *Scheduler) beginEndWrite(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.writing[key] {
+	if s.endWrites[key] {
 		return false
 	}
-	s.writing[key] = true
+	s.endWrites[key] = true
 	return true
 }
 
-func (s *Scheduler) releaseWrite(key string) {
+func (s *Scheduler) finishEndWrite(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.writing, key)
+	delete(s.endWrites, key)
 }
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -33,17 +33,17 @@
 // lists a generation that has ended.
 const releaseRetention = time.Hour
 
-type share struct {
-	acked    time.Time // last renewal or probe that the worker confirmed
-	answered bool      // confirmed the last message
-	done     bool      // all its tasks finished; nothing to renew
+type memberLease struct {
+	confirmedAt time.Time // last renewal or probe that the worker confirmed
+	confirmed   bool      // confirmed the last message
+	finished    bool      // all its tasks finished; nothing to renew
 }
 
-type keep struct {
-	since   time.Time
-	workers map[string]*share
-	doubt   bool // a probe was sent since the last renewal
-	broken  bool // a member is lost: renewed no more
+type gangLeases struct {
+	assignedAt time.Time
+	workers    map[string]*memberLease
+	probing    bool // a probe was sent since the last renewal
+	abandoned  bool // a member is lost: renewed no more
 }
 
 // RenewalPlanner decides which leases one entry host renews. A gang is renewed as
@@ -52,46 +52,46 @@
 // that extend nothing. So a gang that lost a member ends by itself. It is pure
 // state, owned by the renewer's loop.
 type RenewalPlanner struct {
-	gangs    map[workerapi.Gang]*keep
-	released map[workerapi.Gang]time.Time
+	gangs      map[workerapi.Gang]*gangLeases
+	releasedAt map[workerapi.Gang]time.Time
 }
 
 // NewRenewalPlanner returns an empty set.
 func NewRenewalPlanner() *RenewalPlanner {
-	return &RenewalPlanner{gangs: make(map[workerapi.Gang]*keep), released: make(map[workerapi.Gang]time.Time)}
+	return &RenewalPlanner{gangs: make(map[workerapi.Gang]*gangLeases), releasedAt: make(map[workerapi.Gang]time.Time)}
 }
 
 // StopRenewing promises that the gang is never renewed here again.
 func (r *RenewalPlanner) StopRenewing(now time.Time, g workerapi.Gang) {
-	r.released[g] = now
+	r.releasedAt[g] = now
 	delete(r.gangs, g)
 }
 
 // SetAssigned replaces the gangs that this host keeps.
 func (r *RenewalPlanner) SetAssigned(now time.Time, roster []AssignedGang) {
-	next := make(map[workerapi.Gang]*keep, len(roster))
+	next := make(map[workerapi.Gang]*gangLeases, len(roster))
 	for _, g := range roster {
-		if _, released := r.released[g.Gang]; released {
+		if _, released := r.releasedAt[g.Gang]; released {
 			continue
 		}
 		k := r.gangs[g.Gang]
 		if k == nil {
-			k = newKeep(now, g.Workers)
+			k = newGangLeases(now, g.Workers)
 		}
 		next[g.Gang] = k
 	}
 	r.gangs = next
-	for g, at := range r.released {
+	for g, at := range r.releasedAt {
 		if now.Sub(at) >= releaseRetention {
-			delete(r.released, g)
+			delete(r.releasedAt, g)
 		}
 	}
 }
 
-func newKeep(now time.Time, workers []string) *keep {
-	k := &keep{since: now, workers: make(map[string]*share, len(workers))}
+func newGangLeases(now time.Time, workers []string) *gangLeases {
+	k := &gangLeases{assignedAt: now, workers: make(map[string]*memberLease, len(workers))}
 	for _, w := range workers {
-		k.workers[w] = &share{acked: now}
+		k.workers[w] = &memberLease{confirmedAt: now}
 	}
 	return k
 }
@@ -100,13 +100,13 @@
 // are given up because a worker stayed silent for a whole lease.
 func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, lost []Observation) {
 	set := newBatchSet()
-	for _, g := range r.ordered() {
+	for _, g := range r.sortedGangs() {
 		k := r.gangs[g]
-		if k.broken {
+		if k.abandoned {
 			continue
 		}
-		if w := k.silent(now); w != "" {
-			k.broken = true
+		if w := k.expiredWorker(now); w != "" {
+			k.abandoned = true
 			lost = append(lost, Observation{Gang: g, Worker: w, Unreachable: true})
 			continue
 		}
@@ -119,9 +119,9 @@
 // out whole after a probe are renewed, silent members are probed once more.
 func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
-	for _, g := range r.ordered() {
+	for _, g := range r.sortedGangs() {
 		k := r.gangs[g]
-		if !k.broken && (k.doubt || k.doubtful()) {
+		if !k.abandoned && (k.probing || k.hasUnconfirmed()) {
 			set.add(g, k)
 		}
 	}
@@ -139,15 +139,15 @@
 }
 
 // add puts a gang's next messages into the set.
-func (b batchSet) add(g workerapi.Gang, k *keep) {
-	k.doubt = k.doubtful()
+func (b batchSet) add(g workerapi.Gang, k *gangLeases) {
+	k.probing = k.hasUnconfirmed()
 	for w, s := range k.workers {
 		switch {
-		case s.done:
-		case !k.doubt:
-			s.answered = false
+		case s.finished:
+		case !k.probing:
+			s.confirmed = false
 			b.renewals[w] = append(b.renewals[w], g)
-		case !s.answered:
+		case !s.confirmed:
 			b.probes[w] = append(b.probes[w], g)
 		}
 	}
@@ -164,17 +164,17 @@
 	return out
 }
 
-// doubtful tells whether some member did not confirm the last message.
-func (k *keep) doubtful() bool {
+// hasUnconfirmed tells whether some member did not confirm the last message.
+func (k *gangLeases) hasUnconfirmed() bool {
 	for _, s := range k.workers {
-		if !s.done && !s.answered {
+		if !s.finished && !s.confirmed {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *RenewalPlanner) ordered() []workerapi.Gang {
+func (r *RenewalPlanner) sortedGangs() []workerapi.Gang {
 	out := make([]workerapi.Gang, 0, len(r.gangs))
 	for g := range r.gangs {
 		out = append(out, g)
@@ -188,11 +188,11 @@
 	return out
 }
 
-// silent returns a worker that confirmed nothing for a whole lease.
-func (k *keep) silent(now time.Time) string {
+// expiredWorker returns a worker that confirmed nothing for a whole lease.
+func (k *gangLeases) expiredWorker(now time.Time) string {
 	found := ""
 	for w, s := range k.workers {
-		if !s.done && now.Sub(s.acked) >= LeaseDuration && (found == "" || w < found) {
+		if !s.finished && now.Sub(s.confirmedAt) >= LeaseDuration && (found == "" || w < found) {
 			found = w
 		}
 	}
@@ -213,7 +213,7 @@
 		}
 		if !missing[g] {
 			s := k.workers[b.Worker]
-			s.acked, s.answered = now, true
+			s.confirmedAt, s.confirmed = now, true
 			continue
 		}
 		out = append(out, k.onMissing(now, g, b.Worker, reply.Ended)...)
@@ -223,7 +223,7 @@
 
 // onMissing handles a gang that does not run on a worker: it finished there, it
 // ended otherwise, or its start is still under way.
-func (k *keep) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
+func (k *gangLeases) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
 	var tasks []workerapi.Task
 	finished := true
 	for _, t := range ended {
@@ -232,12 +232,12 @@
 			finished = finished && t.State == workerapi.TaskFinished
 		}
 	}
-	starting := len(tasks) == 0 && now.Sub(k.since) < LeaseDuration
+	starting := len(tasks) == 0 && now.Sub(k.assignedAt) < LeaseDuration
 	if starting {
 		return nil
 	}
 	s := k.workers[worker]
-	s.done = finished && len(tasks) > 0
-	k.broken = k.broken || !s.done
+	s.finished = finished && len(tasks) > 0
+	k.abandoned = k.abandoned || !s.finished
 	return []Observation{{Gang: g, Worker: worker, Tasks: tasks}}
 }
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -19,21 +19,21 @@
 	o       Options
 	observe func(Observation)
 
-	mu    sync.Mutex // guards core
-	core  *RenewalPlanner
-	round sync.RWMutex // held for reading while messages of a round are under way
+	mu      sync.Mutex // guards core
+	planner *RenewalPlanner
+	roundMu sync.RWMutex // held for reading while messages of a round are under way
 
-	sent   *metrics.Counter
-	failed *metrics.Counter
+	renewalsSent       *metrics.Counter
+	renewalsUnanswered *metrics.Counter
 }
 
 func newRenewer(o Options, observe func(Observation)) *renewer {
 	return &renewer{
-		o:       o,
-		observe: observe,
-		core:    NewRenewalPlanner(),
-		sent:    o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_sent_total"),
-		failed:  o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_unanswered_total"),
+		o:                  o,
+		observe:            observe,
+		planner:            NewRenewalPlanner(),
+		renewalsSent:       o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_sent_total"),
+		renewalsUnanswered: o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_unanswered_total"),
 	}
 }
 
@@ -45,64 +45,64 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.renewOnce(ctx)
+			r.renewRound(ctx)
 		}
 	}
 }
 
-// renewOnce does one round: one message to each worker with gangs of the
+// renewRound does one round: one message to each worker with gangs of the
 // share, and a second one where an answer calls for it.
-func (r *renewer) renewOnce(ctx context.Context) {
-	roster := r.roster(ctx)
-	r.round.RLock()
-	defer r.round.RUnlock()
+func (r *renewer) renewRound(ctx context.Context) {
+	roster := r.assignedGangs(ctx)
+	r.roundMu.RLock()
+	defer r.roundMu.RUnlock()
 	r.mu.Lock()
-	r.core.SetAssigned(r.o.Now(), roster)
-	batches, lost := r.core.PlanRound(r.o.Now())
+	r.planner.SetAssigned(r.o.Now(), roster)
+	batches, lost := r.planner.PlanRound(r.o.Now())
 	r.mu.Unlock()
-	r.report(ctx, lost)
-	r.send(ctx, batches)
+	r.reportObservations(ctx, lost)
+	r.sendBatches(ctx, batches)
 	r.mu.Lock()
-	batches = r.core.PlanSecondPass()
+	batches = r.planner.PlanSecondPass()
 	r.mu.Unlock()
-	r.send(ctx, batches)
+	r.sendBatches(ctx, batches)
 }
 
-// send delivers a round's messages side by side and takes in the answers.
-func (r *renewer) send(ctx context.Context, batches []RenewalBatch) {
-	learned := make([][]Observation, len(batches))
+// sendBatches delivers a round's messages side by side and takes in the answers.
+func (r *renewer) sendBatches(ctx context.Context, batches []RenewalBatch) {
+	observations := make([][]Observation, len(batches))
 	var g errgroup.Group
 	for i, b := range batches {
 		g.Go(func() error {
-			learned[i] = r.renew(ctx, b)
+			observations[i] = r.sendBatch(ctx, b)
 			return nil
 		})
 	}
 	_ = g.Wait()
-	r.report(ctx, slices.Concat(learned...))
+	r.reportObservations(ctx, slices.Concat(observations...))
 }
 
-func (r *renewer) renew(ctx context.Context, b RenewalBatch) []Observation {
-	address, listed := workerAddress(r.o, b.Worker)
+func (r *renewer) sendBatch(ctx context.Context, b RenewalBatch) []Observation {
+	address, listed := findWorkerAddress(r.o, b.Worker)
 	if !listed {
 		return nil
 	}
-	r.sent.Inc()
+	r.renewalsSent.Inc()
 	req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: LeaseDuration}
 	if b.Probe {
 		req.Lease = 0
 	}
 	var reply workerapi.RenewReply
 	if err := r.o.Workers.Call(ctx, address, workerapi.PathRenew, req, &reply); err != nil {
-		r.failed.Inc()
+		r.renewalsUnanswered.Inc()
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.core.HandleReply(r.o.Now(), b, reply)
+	return r.planner.HandleReply(r.o.Now(), b, reply)
 }
 
-func workerAddress(o Options, worker string) (string, bool) {
+func findWorkerAddress(o Options, worker string) (string, bool) {
 	for _, h := range o.Membership.View().Hosts {
 		if h.Name == worker && h.Kind == kvstore.Worker {
 			return h.Address, true
@@ -111,18 +111,18 @@
 	return "", false
 }
 
-// report tells this host's scheduler and the other entry hosts, as any of them
+// reportObservations tells this host's scheduler and the other entry hosts, as any of them
 // may be, or become, the one that schedules.
-func (r *renewer) report(ctx context.Context, learned []Observation) {
-	for _, o := range learned {
+func (r *renewer) reportObservations(ctx context.Context, observations []Observation) {
+	for _, o := range observations {
 		r.observe(o)
 	}
-	if len(learned) == 0 || r.o.Peers == nil {
+	if len(observations) == 0 || r.o.Peers == nil {
 		return
 	}
 	for _, h := range r.o.Membership.View().Neighbours() {
-		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
-		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, learned, &Ack{})
+		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, observations, &Ack{})
 		cancel()
 	}
 }
--- a/gang/retry.go
+++ b/gang/retry.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	firstRetry   = time.Second // longer than a reservation that was left behind
-	longestRetry = 30 * time.Second
+	minRetryDelay = time.Second // longer than a reservation that was left behind
+	maxRetryDelay = 30 * time.Second
 )
 
-// retry delays a job whose start failed before its gang was whole, so that a
+// startRetry delays a job whose start failed before its gang was whole, so that a
 // worker which refuses or is silent does not cost a write each cycle.
-type retry struct {
+type startRetry struct {
 	delay time.Duration
 	at    time.Time
 }
 
-func (s *Scheduler) delayRetry(key string, now time.Time) {
-	delay := min(max(2*s.retries[key].delay, firstRetry), longestRetry)
-	s.retries[key] = retry{delay: delay, at: now.Add(delay)}
+func (s *Scheduler) delayStart(key string, now time.Time) {
+	delay := min(max(2*s.retries[key].delay, minRetryDelay), maxRetryDelay)
+	s.retries[key] = startRetry{delay: delay, at: now.Add(delay)}
 }
 
-// mayStart tells whether a queued job may be decided upon now.
-func (s *Scheduler) mayStart(now time.Time, key string, rec job.Record) bool {
+// isStartable tells whether a queued job may be decided upon now.
+func (s *Scheduler) isStartable(now time.Time, key string, rec job.Record) bool {
 	return rec.State == job.Queued && rec.CancelBy == "" && s.runs[key] == nil && !now.Before(s.retries[key].at)
 }
 
-// retryHolds explains the jobs that wait for their next try, forgets those that
+// retryWaits explains the jobs that wait for their next try, forgets those that
 // are gone, and wakes the loop for the first of them.
-func (s *Scheduler) retryHolds(now time.Time, records map[string]job.Record) []placement.Hold {
+func (s *Scheduler) retryWaits(now time.Time, records map[string]job.Record) []placement.Hold {
 	var out []placement.Hold
 	for _, key := range sortedKeys(s.retries) {
 		rec, found := records[key]
@@ -42,7 +42,7 @@
 		at := s.retries[key].at
 		if rec.State == job.Queued && now.Before(at) {
 			out = append(out, placement.Hold{ID: rec.Spec.ID, Reason: "its last start failed and is tried again shortly: " + rec.Reason})
-			s.wakeAt = earlier(s.wakeAt, at)
+			s.wakeAt = earlierTime(s.wakeAt, at)
 		}
 	}
 	return out
--- a/gang/run.go
+++ b/gang/run.go
@@ -19,17 +19,17 @@
 	// CheckpointGrace is the longest a checkpoint may take before the stop. It is under
 	// Lease less RenewEvery, so no renewal is needed meanwhile.
 	CheckpointGrace = 10 * time.Second
-	// lapseMargin covers timer skew when a lease is waited out.
-	lapseMargin = 2 * time.Second
-	// adoptPatience is how long a new scheduler waits for a gang's workers to answer.
-	adoptPatience = 10 * time.Second
-	// callPatience is how long an answer of the ledger is awaited before asking again.
-	callPatience = 5 * time.Second
-	// confirmAfter is how long after its start a gang is asked for once, as many
+	// leaseExpiryMargin covers timer skew when a lease is waited out.
+	leaseExpiryMargin = 2 * time.Second
+	// adoptionTimeout is how long a new scheduler waits for a gang's workers to answer.
+	adoptionTimeout = 10 * time.Second
+	// recordRetryInterval is how long an answer of the ledger is awaited before asking again.
+	recordRetryInterval = 5 * time.Second
+	// startCheckDelay is how long after its start a gang is asked for once, as many
 	// tasks that fail at all fail at once.
-	confirmAfter = time.Second
-	// retryEvery is the time between two tries of an unanswered stop or fence.
-	retryEvery = time.Second
+	startCheckDelay = time.Second
+	// workerRetryInterval is the time between two tries of an unanswered stop or fence.
+	workerRetryInterval = time.Second
 )
 
 // Phase is a run's stage.
@@ -49,23 +49,23 @@
 	Ended
 )
 
-type status int
+type memberStatus int
 
 const (
-	idle status = iota
-	reserved
-	mayRun // a start was sent, or the ledger says that one may have been
-	runs
-	finished // all its tasks finished; nothing runs there
-	stopped  // nothing runs there, and nothing can start
+	memberIdle memberStatus = iota
+	memberReserved
+	memberMayRun // a start was sent, or the ledger says that one may have been
+	memberRunning
+	memberFinished // all its tasks finished; nothing runs there
+	memberStopped  // nothing runs there, and nothing can start
 )
 
 type member struct {
-	worker string
-	tasks  []int
-	status status
-	saved  bool
-	known  bool // answered a listing since adoption
+	worker       string
+	tasks        []int
+	status       memberStatus
+	checkpointed bool
+	listed       bool // answered a listing since adoption
 }
 
 // Run is one generation of a gang, from placement to end. It is pure state: it
@@ -75,20 +75,20 @@
 	Phase   Phase
 	Workers []string // worker of each task
 
-	members []*member   // in order of their first task
-	since   time.Time   // start of the phase
-	next    time.Time   // next retry
-	order   StopRequest // why and into what it ends
-	failed  bool
-	suspect []string
-	asked   job.State // state last handed to the ledger
-	checked bool      // its workers were asked once after the start
-	told    bool      // the ledger has the run as running
-	fenced  time.Time // zero: not fenced
+	members         []*member   // in order of their first task
+	phaseStart      time.Time   // start of the phase
+	nextRetry       time.Time   // next retry
+	stopRequest     StopRequest // why and into what it ends
+	failed          bool
+	suspectWorkers  []string
+	requestedState  job.State // state last handed to the ledger
+	startChecked    bool      // its workers were asked once after the start
+	runningRecorded bool      // the ledger has the run as running
+	fencedAt        time.Time // zero: not fenced
 }
 
-func newRun(g workerapi.Gang, workers []string, phase Phase, now time.Time) *Run {
-	r := &Run{Gang: g, Phase: phase, Workers: workers, since: now, next: now}
+func newRunInPhase(g workerapi.Gang, workers []string, phase Phase, now time.Time) *Run {
+	r := &Run{Gang: g, Phase: phase, Workers: workers, phaseStart: now, nextRetry: now}
 	byWorker := make(map[string]*member)
 	for i, w := range workers {
 		m := byWorker[w]
@@ -104,39 +104,39 @@
 
 // NewRun begins a new run: its placement goes to the ledger first.
 func NewRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, RecordingPlacement, now)
-	return r, []Action{r.record(job.Placed, "")}
+	r := newRunInPhase(g, workers, RecordingPlacement, now)
+	return r, []Action{r.recordState(job.Placed, "")}
 }
 
 // AdoptRun takes over a run that the ledger knows and this scheduler did not start.
 func AdoptRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Adopting, now)
+	r := newRunInPhase(g, workers, Adopting, now)
 	for _, m := range r.members {
-		m.status = mayRun
+		m.status = memberMayRun
 	}
 	return r, r.tick(now)
 }
 
 // ResumeStop takes over a stop that an earlier scheduler had recorded.
 func ResumeStop(g workerapi.Gang, workers []string, order StopRequest, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Stopping, now)
+	r := newRunInPhase(g, workers, Stopping, now)
 	for _, m := range r.members {
-		m.status = mayRun
+		m.status = memberMayRun
 	}
-	r.order = order
+	r.stopRequest = order
 	return r, r.tick(now)
 }
 
-func (r *Run) record(state job.State, reason string) RecordState {
-	r.asked = state
-	saved := r.all(func(m *member) bool { return m.saved })
-	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspect, Checkpointed: saved}
+func (r *Run) recordState(state job.State, reason string) RecordState {
+	r.requestedState = state
+	saved := r.allMembers(func(m *member) bool { return m.checkpointed })
+	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspectWorkers, Checkpointed: saved}
 }
 
-func (r *Run) enter(p Phase, now time.Time) {
+func (r *Run) enterPhase(p Phase, now time.Time) {
 	r.Phase = p
-	r.since = now
-	r.next = now
+	r.phaseStart = now
+	r.nextRetry = now
 }
 
 func (r *Run) member(worker string) *member {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (r *Run) all(is func(*member) bool) bool {
+func (r *Run) allMembers(is func(*member) bool) bool {
 	for _, m := range r.members {
 		if !is(m) {
 			return false
@@ -169,7 +169,7 @@
 	case TasksListed:
 		return r.onListed(now, e)
 	case StopRequest:
-		return r.onOrder(now, e)
+		return r.onStopRequest(now, e)
 	case Checkpointed:
 		return r.onCheckpointed(now, e)
 	case WorkerLost:
@@ -184,11 +184,11 @@
 }
 
 func (r *Run) onRecorded(now time.Time, e Recorded) []Action {
-	if e.State != r.asked {
+	if e.State != r.requestedState {
 		return nil
 	}
 	if e.Superseded {
-		r.enter(Ended, now) // what the ledger has instead is adopted
+		r.enterPhase(Ended, now) // what the ledger has instead is adopted
 		return nil
 	}
 	switch r.Phase {
@@ -196,21 +196,21 @@
 		return r.onPlaced(now, e.OK)
 	case RecordingStop:
 		if e.OK {
-			return r.save(now)
+			return r.checkpointMembers(now)
 		}
 	case Running:
-		r.told = e.OK
+		r.runningRecorded = e.OK
 	case RecordingOutcome:
 		if e.OK {
-			r.enter(Ended, now)
+			r.enterPhase(Ended, now)
 		}
 	}
 	return nil
 }
 
-// outrun tells whether the ledger has the job in a state that a running gang
+// isObsolete tells whether the ledger has the job in a state that a running gang
 // can not be in, so that this run is obsolete.
-func (r *Run) outrun(rec job.Record) bool {
+func (r *Run) isObsolete(rec job.Record) bool {
 	if r.Phase != Running {
 		return false
 	}
@@ -221,32 +221,32 @@
 func (r *Run) tick(now time.Time) []Action {
 	switch r.Phase {
 	case Reserving, Starting:
-		if now.Sub(r.since) >= 2*ReservationTTL {
-			return r.fail(now, "the gang's start took too long")
+		if now.Sub(r.phaseStart) >= 2*ReservationTTL {
+			return r.failRun(now, "the gang's start took too long")
 		}
 	case Adopting:
 		return r.tickAdopting(now)
 	case Running:
 		return r.tickRunning(now)
 	case RecordingStop:
-		return r.again(now, job.Stopping, r.order.Reason)
+		return r.retryRecord(now, job.Stopping, r.stopRequest.Reason)
 	case Checkpointing:
-		if now.Sub(r.since) >= r.order.Grace {
-			return r.stop(now)
+		if now.Sub(r.phaseStart) >= r.stopRequest.Grace {
+			return r.stopMembers(now)
 		}
 	case Stopping:
 		return r.tickStopping(now)
 	case RecordingOutcome:
-		return r.again(now, r.order.NextState, r.order.Reason)
+		return r.retryRecord(now, r.stopRequest.NextState, r.stopRequest.Reason)
 	}
 	return nil
 }
 
-// again repeats a record that the ledger did not confirm for a while.
-func (r *Run) again(now time.Time, state job.State, reason string) []Action {
-	if now.Before(r.next) {
+// retryRecord repeats a record that the ledger did not confirm for a while.
+func (r *Run) retryRecord(now time.Time, state job.State, reason string) []Action {
+	if now.Before(r.nextRetry) {
 		return nil
 	}
-	r.next = now.Add(callPatience)
-	return []Action{r.record(state, reason)}
+	r.nextRetry = now.Add(recordRetryInterval)
+	return []Action{r.recordState(state, reason)}
 }
--- a/gang/run_start.go
+++ b/gang/run_start.go
@@ -12,10 +12,10 @@
 // the run ends; a placement that stands after all is adopted.
 func (r *Run) onPlaced(now time.Time, ok bool) []Action {
 	if !ok {
-		r.enter(Ended, now)
+		r.enterPhase(Ended, now)
 		return nil
 	}
-	r.enter(Reserving, now)
+	r.enterPhase(Reserving, now)
 	var out []Action
 	for _, m := range r.members {
 		out = append(out, Reserve{Worker: m.worker, Tasks: m.tasks})
@@ -29,22 +29,22 @@
 		return nil
 	}
 	if e.Code != workerapi.OK {
-		return r.fail(now, fmt.Sprintf("worker %s made no reservation: %s", e.Worker, describe(e.Code, e.Reason)))
+		return r.failRun(now, fmt.Sprintf("worker %s made no reservation: %s", e.Worker, describeRefusal(e.Code, e.Reason)))
 	}
-	m.status = reserved
-	if !r.all(func(m *member) bool { return m.status == reserved }) {
+	m.status = memberReserved
+	if !r.allMembers(func(m *member) bool { return m.status == memberReserved }) {
 		return nil
 	}
-	r.enter(Starting, now)
+	r.enterPhase(Starting, now)
 	var out []Action
 	for _, m := range r.members {
-		m.status = mayRun
+		m.status = memberMayRun
 		out = append(out, Start{Worker: m.worker, Tasks: m.tasks})
 	}
 	return out
 }
 
-func describe(code workerapi.Code, reason string) string {
+func describeRefusal(code workerapi.Code, reason string) string {
 	if code == "" {
 		return "no answer"
 	}
@@ -56,30 +56,30 @@
 
 func (r *Run) onStarted(now time.Time, e Started) []Action {
 	m := r.member(e.Worker)
-	if m == nil || m.status != mayRun || (r.Phase != Starting && r.Phase != Stopping) {
+	if m == nil || m.status != memberMayRun || (r.Phase != Starting && r.Phase != Stopping) {
 		return nil
 	}
 	if !e.Sent || e.Code == workerapi.NoReservation || e.Code == workerapi.StaleTerm {
-		m.status = stopped
+		m.status = memberStopped
 	}
 	if r.Phase == Stopping {
-		return r.closeIfStopped(now)
+		return r.recordOutcomeIfStopped(now)
 	}
 	if e.Code != workerapi.OK {
-		return r.fail(now, fmt.Sprintf("the start on worker %s was not confirmed: %s", e.Worker, describe(e.Code, e.Reason)))
+		return r.failRun(now, fmt.Sprintf("the start on worker %s was not confirmed: %s", e.Worker, describeRefusal(e.Code, e.Reason)))
 	}
-	m.status = runs
-	if !r.all(func(m *member) bool { return m.status == runs }) {
+	m.status = memberRunning
+	if !r.allMembers(func(m *member) bool { return m.status == memberRunning }) {
 		return nil
 	}
-	return r.whole(now)
+	return r.enterRunning(now)
 }
 
-// whole notes that every member runs.
-func (r *Run) whole(now time.Time) []Action {
-	r.enter(Running, now)
-	r.next = now.Add(callPatience)
-	return []Action{r.record(job.Running, "")}
+// enterRunning notes that every member runs.
+func (r *Run) enterRunning(now time.Time) []Action {
+	r.enterPhase(Running, now)
+	r.nextRetry = now.Add(recordRetryInterval)
+	return []Action{r.recordState(job.Running, "")}
 }
 
 // onListed compares what a worker holds with what it should.
@@ -88,7 +88,7 @@
 	if m == nil || !e.Answered || (r.Phase != Running && r.Phase != Adopting) {
 		return nil
 	}
-	m.known = true
+	m.listed = true
 	running, done := 0, 0
 	for _, t := range e.Tasks {
 		switch {
@@ -103,67 +103,67 @@
 	}
 	switch {
 	case done == len(m.tasks):
-		m.status = finished
+		m.status = memberFinished
 	case running+done == len(m.tasks):
-		m.status = runs
+		m.status = memberRunning
 	default:
-		m.status = mayRun
-		return r.fail(now, fmt.Sprintf("worker %s lost tasks of the gang", m.worker))
+		m.status = memberMayRun
+		return r.failRun(now, fmt.Sprintf("worker %s lost tasks of the gang", m.worker))
 	}
-	return r.settle(now)
+	return r.checkMembers(now)
 }
 
 func (r *Run) onLost(now time.Time, e WorkerLost) []Action {
 	m := r.member(e.Worker)
-	if m == nil || m.status == finished || r.Phase != Running {
+	if m == nil || m.status == memberFinished || r.Phase != Running {
 		return nil
 	}
-	return r.fail(now, e.Reason)
+	return r.failRun(now, e.Reason)
 }
 
 func (r *Run) onTaskFailed(now time.Time, m *member, t workerapi.Task) []Action {
 	r.failed = true
-	r.suspect = append(r.suspect, m.worker)
-	return r.fail(now, fmt.Sprintf("task %d failed on worker %s: %s", t.Index, m.worker, t.Reason))
+	r.suspectWorkers = append(r.suspectWorkers, m.worker)
+	return r.failRun(now, fmt.Sprintf("task %d failed on worker %s: %s", t.Index, m.worker, t.Reason))
 }
 
-// settle ends a run whose tasks all finished, and takes over a whole gang.
-func (r *Run) settle(now time.Time) []Action {
-	if r.all(func(m *member) bool { return m.status == finished }) {
-		r.order = StopRequest{NextState: job.Finished}
-		return r.close(now)
+// checkMembers ends a run whose tasks all finished, and takes over a whole gang.
+func (r *Run) checkMembers(now time.Time) []Action {
+	if r.allMembers(func(m *member) bool { return m.status == memberFinished }) {
+		r.stopRequest = StopRequest{NextState: job.Finished}
+		return r.recordOutcome(now)
 	}
-	if r.Phase == Adopting && r.all(func(m *member) bool { return m.known }) {
-		return r.whole(now)
+	if r.Phase == Adopting && r.allMembers(func(m *member) bool { return m.listed }) {
+		return r.enterRunning(now)
 	}
 	return nil
 }
 
 func (r *Run) tickRunning(now time.Time) []Action {
 	var out []Action
-	if !r.checked && now.Sub(r.since) >= confirmAfter {
-		r.checked = true
+	if !r.startChecked && now.Sub(r.phaseStart) >= startCheckDelay {
+		r.startChecked = true
 		for _, m := range r.members {
 			out = append(out, ListTasks{Worker: m.worker})
 		}
 	}
-	if !r.told {
-		out = append(out, r.again(now, job.Running, "")...)
+	if !r.runningRecorded {
+		out = append(out, r.retryRecord(now, job.Running, "")...)
 	}
 	return out
 }
 
 func (r *Run) tickAdopting(now time.Time) []Action {
-	if now.Sub(r.since) >= adoptPatience {
-		return r.fail(now, "a worker of the gang did not answer the new scheduler")
+	if now.Sub(r.phaseStart) >= adoptionTimeout {
+		return r.failRun(now, "a worker of the gang did not answer the new scheduler")
 	}
-	if now.Before(r.next) {
+	if now.Before(r.nextRetry) {
 		return nil
 	}
-	r.next = now.Add(retryEvery)
+	r.nextRetry = now.Add(workerRetryInterval)
 	var out []Action
 	for _, m := range r.members {
-		if !m.known {
+		if !m.listed {
 			out = append(out, ListTasks{Worker: m.worker})
 		}
 	}
--- a/gang/run_stop.go
+++ b/gang/run_stop.go
@@ -6,37 +6,37 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-func (r *Run) onOrder(now time.Time, e StopRequest) []Action {
+func (r *Run) onStopRequest(now time.Time, e StopRequest) []Action {
 	switch r.Phase {
 	case Running:
-		r.order = e
-		r.enter(RecordingStop, now)
-		r.next = now.Add(callPatience)
-		return []Action{r.record(job.Stopping, e.Reason)}
+		r.stopRequest = e
+		r.enterPhase(RecordingStop, now)
+		r.nextRetry = now.Add(recordRetryInterval)
+		return []Action{r.recordState(job.Stopping, e.Reason)}
 	case Reserving, Starting:
-		r.order = e
-		return r.stop(now)
+		r.stopRequest = e
+		return r.stopMembers(now)
 	case RecordingStop, Checkpointing, Stopping:
-		r.strengthen(e)
+		r.upgradeStopRequest(e)
 	}
 	return nil
 }
 
-// strengthen lets a later order end a job that would have run again.
-func (r *Run) strengthen(e StopRequest) {
-	if r.order.NextState == job.Queued && e.NextState.Terminal() {
-		r.order.NextState, r.order.Reason = e.NextState, e.Reason
+// upgradeStopRequest lets a later order end a job that would have run again.
+func (r *Run) upgradeStopRequest(e StopRequest) {
+	if r.stopRequest.NextState == job.Queued && e.NextState.Terminal() {
+		r.stopRequest.NextState, r.stopRequest.Reason = e.NextState, e.Reason
 	}
 }
 
-func (r *Run) save(now time.Time) []Action {
-	if r.order.Grace <= 0 {
-		return r.stop(now)
+func (r *Run) checkpointMembers(now time.Time) []Action {
+	if r.stopRequest.Grace <= 0 {
+		return r.stopMembers(now)
 	}
-	r.enter(Checkpointing, now)
+	r.enterPhase(Checkpointing, now)
 	var out []Action
 	for _, m := range r.members {
-		out = append(out, Checkpoint{Worker: m.worker, Grace: r.order.Grace})
+		out = append(out, Checkpoint{Worker: m.worker, Grace: r.stopRequest.Grace})
 	}
 	return out
 }
@@ -46,38 +46,38 @@
 	if m == nil || r.Phase != Checkpointing || !e.OK {
 		return nil
 	}
-	m.saved = true
-	if r.all(func(m *member) bool { return m.saved || m.status == finished }) {
-		return r.stop(now)
+	m.checkpointed = true
+	if r.allMembers(func(m *member) bool { return m.checkpointed || m.status == memberFinished }) {
+		return r.stopMembers(now)
 	}
 	return nil
 }
 
-// fail ends the run because it can not be whole. It runs again unless an
+// failRun ends the run because it can not be whole. It runs again unless an
 // earlier order says otherwise; the scheduler counts failures.
-func (r *Run) fail(now time.Time, reason string) []Action {
-	if r.order.NextState == "" {
-		r.order = StopRequest{NextState: job.Queued, Reason: reason}
+func (r *Run) failRun(now time.Time, reason string) []Action {
+	if r.stopRequest.NextState == "" {
+		r.stopRequest = StopRequest{NextState: job.Queued, Reason: reason}
 	}
-	return r.stop(now)
+	return r.stopMembers(now)
 }
 
-// stop tells every worker to end the gang. Where no start was sent, nothing
+// stopMembers tells every worker to end the gang. Where no start was sent, nothing
 // runs and the message only frees the reservation early.
-func (r *Run) stop(now time.Time) []Action {
-	r.enter(Stopping, now)
+func (r *Run) stopMembers(now time.Time) []Action {
+	r.enterPhase(Stopping, now)
 	for _, m := range r.members {
-		if m.status == idle || m.status == reserved {
-			m.status = stopped
+		if m.status == memberIdle || m.status == memberReserved {
+			m.status = memberStopped
 		}
 	}
 	out := r.tick(now)
 	for _, m := range r.members {
-		if m.status == stopped {
-			out = append(out, Stop{Worker: m.worker, Reason: r.order.Reason})
+		if m.status == memberStopped {
+			out = append(out, Stop{Worker: m.worker, Reason: r.stopRequest.Reason})
 		}
 	}
-	return append(out, r.closeIfStopped(now)...)
+	return append(out, r.recordOutcomeIfStopped(now)...)
 }
 
 func (r *Run) onStopped(now time.Time, e Stopped) []Action {
@@ -85,54 +85,54 @@
 	if m == nil || r.Phase != Stopping || !e.OK {
 		return nil
 	}
-	m.status = stopped
-	return r.closeIfStopped(now)
+	m.status = memberStopped
+	return r.recordOutcomeIfStopped(now)
 }
 
 func (r *Run) onFenced(now time.Time, e Fenced) []Action {
-	if r.Phase == Stopping && e.OK && r.fenced.IsZero() {
-		r.fenced = now
+	if r.Phase == Stopping && e.OK && r.fencedAt.IsZero() {
+		r.fencedAt = now
 	}
 	return nil
 }
 
-func (r *Run) closeIfStopped(now time.Time) []Action {
-	if !r.all(func(m *member) bool { return m.status == stopped || m.status == finished }) {
+func (r *Run) recordOutcomeIfStopped(now time.Time) []Action {
+	if !r.allMembers(func(m *member) bool { return m.status == memberStopped || m.status == memberFinished }) {
 		return nil
 	}
-	return r.close(now)
+	return r.recordOutcome(now)
 }
 
-func (r *Run) close(now time.Time) []Action {
-	r.enter(RecordingOutcome, now)
-	r.next = now.Add(callPatience)
-	return []Action{r.record(r.order.NextState, r.order.Reason)}
+func (r *Run) recordOutcome(now time.Time) []Action {
+	r.enterPhase(RecordingOutcome, now)
+	r.nextRetry = now.Add(recordRetryInterval)
+	return []Action{r.recordState(r.stopRequest.NextState, r.stopRequest.Reason)}
 }
 
-// lapsed tells whether leases that were not confirmed as stopped have surely
+// leasesExpired tells whether leases that were not confirmed as stopped have surely
 // ended: nobody renews them, and a start under way has lost its reservation.
-func (r *Run) lapsed(now time.Time) bool {
-	return !r.fenced.IsZero() && !now.Before(r.fenced.Add(ReservationTTL+LeaseDuration+lapseMargin))
+func (r *Run) leasesExpired(now time.Time) bool {
+	return !r.fencedAt.IsZero() && !now.Before(r.fencedAt.Add(ReservationTTL+LeaseDuration+leaseExpiryMargin))
 }
 
 func (r *Run) tickStopping(now time.Time) []Action {
-	if r.lapsed(now) {
+	if r.leasesExpired(now) {
 		for _, m := range r.members {
-			m.status = stopped
+			m.status = memberStopped
 		}
-		return r.closeIfStopped(now)
+		return r.recordOutcomeIfStopped(now)
 	}
-	if now.Before(r.next) {
+	if now.Before(r.nextRetry) {
 		return nil
 	}
-	r.next = now.Add(retryEvery)
+	r.nextRetry = now.Add(workerRetryInterval)
 	var out []Action
 	for _, m := range r.members {
-		if m.status == mayRun || m.status == runs {
-			out = append(out, Stop{Worker: m.worker, Reason: r.order.Reason})
+		if m.status == memberMayRun || m.status == memberRunning {
+			out = append(out, Stop{Worker: m.worker, Reason: r.stopRequest.Reason})
 		}
 	}
-	if len(out) > 0 && r.fenced.IsZero() && now.Sub(r.since) >= retryEvery {
+	if len(out) > 0 && r.fencedAt.IsZero() && now.Sub(r.phaseStart) >= workerRetryInterval {
 		out = append(out, Fence{})
 	}
 	return out
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	cycleEvery  = time.Second            // between two decisions without any event
-	settleDelay = 10 * time.Millisecond  // events that come together are decided together
-	silentFor   = 15 * time.Second       // a worker that did not answer gets no new gang for so long
-	eventBuffer = 1024                   // answers waiting for the loop
-	peerTimeout = 900 * time.Millisecond // of one call to an entry host
+	maxCycleInterval   = time.Second            // between two decisions without any event
+	eventBatchDelay    = 10 * time.Millisecond  // events that come together are decided together
+	unansweredCooldown = 15 * time.Second       // a worker that did not answer gets no new gang for so long
+	eventBufferSize    = 1024                   // answers waiting for the loop
+	peerCallTimeout    = 900 * time.Millisecond // of one call to an entry host
 )
 
 // Options configures a Scheduler.
@@ -60,16 +60,16 @@
 	return o
 }
 
-// tracked is a run and what the scheduler knows of its job.
-type tracked struct {
-	run    *Run
-	record job.Record // as placed or adopted
-	ended  bool       // its outcome was learned from
-	fatal  string     // why the job itself fails; empty: it may run again
+// trackedRun is a run and what the scheduler knows of its job.
+type trackedRun struct {
+	run            *Run
+	record         job.Record // as placed or adopted
+	outcomeCounted bool       // its outcome was learned from
+	fatalReason    string     // why the job itself fails; empty: it may run again
 }
 
-// delivery is an event for a run, on its way to the loop.
-type delivery struct {
+// runEvent is an event for a run, on its way to the loop.
+type runEvent struct {
 	gang  workerapi.Gang
 	term  uint64
 	event Event
@@ -79,54 +79,54 @@
 // this host holds its term, and renews this host's share of leases always.
 // Its exported methods are safe for concurrent use; the loop in Run owns the rest.
 type Scheduler struct {
-	o       Options
-	permit  Permit
-	renewer *renewer
-	events  chan delivery
-	offers  chan offer
-	wake    chan struct{}
-	tasks   sync.WaitGroup // I/O under way
-	lists   singleflight.Group
+	o                Options
+	permit           Permit
+	renewer          *renewer
+	events           chan runEvent
+	startableQueries chan startableQuery
+	cycleRequests    chan struct{}
+	ioCalls          sync.WaitGroup // I/O under way
+	taskListings     singleflight.Group
 
 	// Owned by the loop.
-	term       uint64
-	runs       map[string]*tracked
-	wakeAt     time.Time
-	retries    map[string]retry // jobs whose last start failed
-	estimates  *placement.Estimates
-	quarantine *placement.Quarantine
-	learnt     learnt
+	term           uint64
+	runs           map[string]*trackedRun
+	wakeAt         time.Time
+	retries        map[string]startRetry // jobs whose last start failed
+	estimates      *placement.Estimates
+	quarantine     *placement.Quarantine
+	estimatesState estimatesState
 
-	mu       sync.Mutex
-	writing  map[string]bool      // queued jobs whose end is being recorded
-	silent   map[string]time.Time // worker to the last unanswered message
-	seen     map[workerapi.Gang]map[string]Observation
-	holds    map[string]string // job to the reason it waits
-	deficits []placement.Deficit
+	mu           sync.Mutex
+	endWrites    map[string]bool      // queued jobs whose end is being recorded
+	unanswered   map[string]time.Time // worker to the last unanswered message
+	observations map[workerapi.Gang]map[string]Observation
+	waitReasons  map[string]string // job to the reason it waits
+	deficits     []placement.Deficit
 
-	meters meters
+	metrics schedulerMetrics
 }
 
 // New returns a scheduler; it acts once Run is called.
 func New(o Options) *Scheduler {
 	o = o.withDefaults()
 	s := &Scheduler{
-		o:       o,
-		permit:  Permit{FailureDomain: o.FailureDomain, Config: o.Config, Election: o.Election},
-		offers:  make(chan offer),
-		events:  make(chan delivery, eventBuffer),
-		wake:    make(chan struct{}, 1),
-		runs:    make(map[string]*tracked),
-		writing: make(map[string]bool),
-		silent:  make(map[string]time.Time),
-		seen:    make(map[workerapi.Gang]map[string]Observation),
-		holds:   make(map[string]string),
-		meters:  newMeters(o.Metrics),
+		o:                o,
+		permit:           Permit{FailureDomain: o.FailureDomain, Config: o.Config, Election: o.Election},
+		startableQueries: make(chan startableQuery),
+		events:           make(chan runEvent, eventBufferSize),
+		cycleRequests:    make(chan struct{}, 1),
+		runs:             make(map[string]*trackedRun),
+		endWrites:        make(map[string]bool),
+		unanswered:       make(map[string]time.Time),
+		observations:     make(map[workerapi.Gang]map[string]Observation),
+		waitReasons:      make(map[string]string),
+		metrics:          newSchedulerMetrics(o.Metrics),
 
-		retries:    make(map[string]retry),
-		estimates:  placement.NewEstimates(),
-		quarantine: placement.NewQuarantine(),
-		learnt:     newLearnt(),
+		retries:        make(map[string]startRetry),
+		estimates:      placement.NewEstimates(),
+		quarantine:     placement.NewQuarantine(),
+		estimatesState: newEstimatesState(),
 	}
 	o.Metrics.GetOrCreateGauge("cyclamentray_gang_deficits", func() float64 { return float64(len(s.Deficits())) })
 	s.renewer = newRenewer(o, s.Observe)
@@ -139,7 +139,7 @@
 	wg.Go(func() { s.renewer.run(ctx) })
 	s.loop(ctx)
 	wg.Wait()
-	s.tasks.Wait()
+	s.ioCalls.Wait()
 	if h, ok := s.o.Workers.(*HTTPWorkerCaller); ok {
 		h.Close()
 	}
@@ -151,7 +151,7 @@
 		ledgerChanged := s.o.Ledger.Changed()
 		configChanged := s.o.Config.Changed()
 		s.Cycle(ctx)
-		timer := time.NewTimer(s.pause())
+		timer := time.NewTimer(s.nextCycleDelay())
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -159,28 +159,28 @@
 			s.deliver(ctx, d)
 		case <-ledgerChanged:
 		case <-configChanged:
-		case <-s.wake:
-		case note := <-s.learnt.read:
-			s.adoptLearnt(note)
-		case o := <-s.offers:
-			s.answer(o)
+		case <-s.cycleRequests:
+		case note := <-s.estimatesState.loaded:
+			s.replaceEstimates(note)
+		case o := <-s.startableQueries:
+			s.answerStartable(o)
 		}
 		timer.Stop()
-		s.drain(ctx)
+		s.deliverEvents(ctx)
 	}
 }
 
-// pause returns how long to sleep when nothing happens.
-func (s *Scheduler) pause() time.Duration {
+// nextCycleDelay returns how long to sleep when nothing happens.
+func (s *Scheduler) nextCycleDelay() time.Duration {
 	if s.wakeAt.IsZero() {
-		return cycleEvery
+		return maxCycleInterval
 	}
-	return min(cycleEvery, max(settleDelay, s.wakeAt.Sub(s.o.Now())))
+	return min(maxCycleInterval, max(eventBatchDelay, s.wakeAt.Sub(s.o.Now())))
 }
 
-// drain delivers the events that come within a short time.
-func (s *Scheduler) drain(ctx context.Context) {
-	timer := time.NewTimer(settleDelay)
+// deliverEvents delivers the events that come within a short time.
+func (s *Scheduler) deliverEvents(ctx context.Context) {
+	timer := time.NewTimer(eventBatchDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -194,31 +194,31 @@
 	}
 }
 
-func (s *Scheduler) deliver(ctx context.Context, d delivery) {
+func (s *Scheduler) deliver(ctx context.Context, d runEvent) {
 	t := s.runs[d.gang.Job]
 	if t == nil || t.run.Gang != d.gang || d.term != s.term {
 		return
 	}
-	s.step(ctx, t, d.event)
+	s.stepRun(ctx, t, d.event)
 }
 
-// step feeds an event to a run and starts what it asks for.
-func (s *Scheduler) step(ctx context.Context, t *tracked, e Event) {
+// stepRun feeds an event to a run and starts what it asks for.
+func (s *Scheduler) stepRun(ctx context.Context, t *trackedRun, e Event) {
 	before := t.run.Phase
 	actions := t.run.Step(s.o.Now(), e)
-	s.act(ctx, t, actions)
+	s.executeActions(ctx, t, actions)
 	if t.run.Phase != before {
 		s.o.Logger.Debug("gang changed phase", "job", t.run.Gang.Job, "generation", t.run.Gang.Generation, "phase", t.run.Phase)
 	}
 	if t.run.Phase == Ended {
 		delete(s.runs, t.run.Gang.Job)
-		s.poke()
+		s.requestCycle()
 	}
 }
 
-func (s *Scheduler) poke() {
+func (s *Scheduler) requestCycle() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.cycleRequests <- struct{}{}:
 	default:
 	}
 }
@@ -227,12 +227,12 @@
 // kept until the ledger moves on, so that whichever host schedules next has it.
 func (s *Scheduler) Observe(o Observation) {
 	s.mu.Lock()
-	if s.seen[o.Gang] == nil {
-		s.seen[o.Gang] = make(map[string]Observation)
+	if s.observations[o.Gang] == nil {
+		s.observations[o.Gang] = make(map[string]Observation)
 	}
-	s.seen[o.Gang][o.Worker] = o
+	s.observations[o.Gang][o.Worker] = o
 	s.mu.Unlock()
-	s.poke()
+	s.requestCycle()
 }
 
 // WaitReason returns why a queued job waits, as of the last decision here. ok is
@@ -243,7 +243,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reason, ok = s.holds[id.String()]
+	reason, ok = s.waitReasons[id.String()]
 	return reason, ok
 }
 
--- a/gang/world_test.go
+++ b/gang/simulation_test.go
@@ -175,7 +175,7 @@
 func (w *world) message(i, k int, call func(*worker.Server) Event, failed Event, back func(Event)) {
 	h := w.hosts[i]
 	answered := false
-	w.after(workerTimeout, func() {
+	w.after(workerCallTimeout, func() {
 		w.onHost(i, h, func() {
 			if !answered {
 				answered = true
@@ -342,10 +342,10 @@
 				if run.Phase == Ended {
 					delete(h.runs, key)
 				} else if h.outSeen || (!w.calm && w.rng.Intn(60) == 0) {
-					w.act(i, run.Gang, run.Step(w.now, StopRequest{NextState: job.Queued, Grace: graceOf(rec)}))
+					w.act(i, run.Gang, run.Step(w.now, StopRequest{NextState: job.Queued, Grace: checkpointGrace(rec)}))
 				}
-			case live(rec.State):
-				run, actions := adopt(g, rec, w.now)
+			case isLive(rec.State):
+				run, actions := adoptRecorded(g, rec, w.now)
 				h.runs[key] = run
 				w.act(i, g, actions)
 			case rec.State == job.Queued && w.permitted(h, h.term):
--- a/gang/takes.go
+++ b/gang/startable.go
@@ -7,42 +7,42 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// offer asks the loop which queued jobs of other failure domains it would take.
-type offer struct {
+// startableQuery asks the loop which queued jobs of other failure domains it would take.
+type startableQuery struct {
 	records []job.Record
-	taken   chan []job.ID // holds one answer, so that the loop never waits
+	reply   chan []job.ID // holds one answer, so that the loop never waits
 }
 
 // StartableJobs returns which of the queued jobs of other failure domains this one
 // could start at once, beside its own. It returns none when this host does not
 // schedule, or when ctx ends first.
 func (s *Scheduler) StartableJobs(ctx context.Context, records []job.Record) []job.ID {
-	o := offer{records: records, taken: make(chan []job.ID, 1)}
+	o := startableQuery{records: records, reply: make(chan []job.ID, 1)}
 	select {
-	case s.offers <- o:
+	case s.startableQueries <- o:
 	case <-ctx.Done():
 		return nil
 	}
 	select {
-	case ids := <-o.taken:
+	case ids := <-o.reply:
 		return ids
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// answer decides on an offer. Only the loop calls it.
-func (s *Scheduler) answer(o offer) {
+// answerStartable decides on an offer. Only the loop calls it.
+func (s *Scheduler) answerStartable(o startableQuery) {
 	now := s.o.Now()
 	own, _, complete := s.o.Ledger.Snapshot()
 	if !complete || s.permit.Check(now, s.term) != nil {
-		o.taken <- nil
+		o.reply <- nil
 		return
 	}
 	snap, _ := s.o.Config.Current()
 	offered := make([]placement.Waiting, 0, len(o.records))
 	for _, rec := range o.records {
-		offered = append(offered, waiting(rec))
+		offered = append(offered, placementWaiting(rec))
 	}
-	o.taken <- placement.Pull(s.view(now, own, snap), offered)
+	o.reply <- placement.Pull(s.placementView(now, own, snap), offered)
 }
--- a/gang/summary.go
+++ b/gang/summary.go
@@ -25,7 +25,7 @@
 		switch {
 		case rec.State == job.Queued:
 			sum.Queued++
-		case live(rec.State):
+		case isLive(rec.State):
 			sum.Running++
 		}
 	}
@@ -34,7 +34,7 @@
 
 // SummaryOf asks the scheduler whose peer listener is at address.
 func (s *Scheduler) SummaryOf(ctx context.Context, address string) (Summary, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var sum Summary
 	err := s.o.Peers.Call(ctx, address, methodSummary, SummaryArgs{}, &sum)
--- a/gang/view.go
+++ b/gang/view.go
@@ -9,35 +9,35 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// view gathers what a decision depends on.
-func (s *Scheduler) view(now time.Time, records map[string]job.Record, snap *config.Snapshot) placement.View {
+// placementView gathers what a decision depends on.
+func (s *Scheduler) placementView(now time.Time, records map[string]job.Record, snap *config.Snapshot) placement.View {
 	v := placement.View{
 		Now:        now,
 		Out:        snap.FailureDomains[s.o.FailureDomain].Out,
-		Workers:    s.workers(now),
+		Workers:    s.placementWorkers(now),
 		Estimates:  s.estimates,
-		Guarantees: guarantees(snap, s.o.FailureDomain),
-		Quotas:     quotas(snap),
+		Guarantees: placementGuarantees(snap, s.o.FailureDomain),
+		Quotas:     placementQuotas(snap),
 	}
 	for _, key := range sortedKeys(s.runs) {
-		v.Running = append(v.Running, s.runs[key].placed())
+		v.Running = append(v.Running, s.runs[key].placementGang())
 	}
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
-		if s.mayStart(now, key, rec) && !retired(snap, rec) {
-			v.Waiting = append(v.Waiting, waiting(rec))
+		if s.isStartable(now, key, rec) && !serviceRetired(snap, rec) {
+			v.Waiting = append(v.Waiting, placementWaiting(rec))
 		}
 	}
 	return v
 }
 
-func retired(snap *config.Snapshot, rec job.Record) bool {
+func serviceRetired(snap *config.Snapshot, rec job.Record) bool {
 	_, gone := snap.Retired[rec.Spec.ID.Service]
 	return gone
 }
 
-// placed describes a run that occupies its accelerators.
-func (t *tracked) placed() placement.Gang {
+// placementGang describes a run that occupies its accelerators.
+func (t *trackedRun) placementGang() placement.Gang {
 	rec := t.record
 	return placement.Gang{
 		ID:           rec.Spec.ID,
@@ -56,7 +56,7 @@
 	}
 }
 
-func waiting(rec job.Record) placement.Waiting {
+func placementWaiting(rec job.Record) placement.Waiting {
 	return placement.Waiting{
 		ID:          rec.Spec.ID,
 		Team:        rec.Team,
@@ -70,8 +70,8 @@
 	}
 }
 
-// workers lists the failure domain's workers and why some take nothing new.
-func (s *Scheduler) workers(now time.Time) []placement.Worker {
+// placementWorkers lists the failure domain's placementWorkers and why some take nothing new.
+func (s *Scheduler) placementWorkers(now time.Time) []placement.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []placement.Worker
@@ -79,11 +79,11 @@
 		w := placement.Worker{Name: h.Name, Rack: h.Rack, Accelerators: h.Accelerators}
 		w.Unavailable = s.quarantine.Unavailable(h.Name, now)
 		w.Probing = s.quarantine.Probing(h.Name, now)
-		last, missed := s.silent[h.Name]
+		last, missed := s.unanswered[h.Name]
 		switch {
 		case h.Leaving:
 			w.Unavailable = "leaving"
-		case missed && now.Sub(last) < silentFor:
+		case missed && now.Sub(last) < unansweredCooldown:
 			w.Unavailable = "silent"
 		}
 		out = append(out, w)
@@ -91,7 +91,7 @@
 	return out
 }
 
-func guarantees(snap *config.Snapshot, failureDomain string) []placement.Guarantee {
+func placementGuarantees(snap *config.Snapshot, failureDomain string) []placement.Guarantee {
 	var out []placement.Guarantee
 	for _, name := range sortedKeys(snap.Organisations) {
 		for _, g := range snap.Organisations[name].Guarantees {
@@ -103,7 +103,7 @@
 	return out
 }
 
-func quotas(snap *config.Snapshot) []placement.Quota {
+func placementQuotas(snap *config.Snapshot) []placement.Quota {
 	var out []placement.Quota
 	for _, name := range sortedKeys(snap.Organisations) {
 		for _, t := range snap.Organisations[name].Teams {
