--- a/gang/actions.go
+++ b/gang/actions.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// executeActions starts what a run asks for. Each action runs beside the loop and posts
-// its answer back as an event.
+// executeActions executes a run's actions. Each one runs in its own goroutine
+// and posts its result to the loop as an event.
 func (s *Scheduler) executeActions(ctx context.Context, t *trackedRun, actions []Action) {
 	for _, a := range actions {
 		if r, ok := a.(RecordState); ok {
@@ -23,7 +23,8 @@
 	}
 }
 
-// actionCall is the I/O of one action. It holds copies only.
+// actionCall does the I/O of one action. It holds copies of the run's data, since
+// the loop may change the run at the same time.
 type actionCall struct {
 	s       *Scheduler
 	gang    workerapi.Gang
@@ -59,7 +60,7 @@
 	}
 }
 
-// callWorker sends a message to a worker and notes whether it answered.
+// callWorker calls a worker and tracks whether it answered.
 func (e actionCall) callWorker(ctx context.Context, worker, path string, args, reply any) error {
 	address, err := e.s.workerAddress(worker)
 	if err == nil {
@@ -104,7 +105,7 @@
 	return Reserved{Worker: a.Worker, Code: reply.Code, Reason: reply.Reason}
 }
 
-// start checks the permit as the last thing before the message leaves.
+// start checks the permit immediately before it sends the request.
 func (e actionCall) start(ctx context.Context, a Start) Started {
 	req := workerapi.StartRequest{
 		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Size: len(e.workers),
@@ -130,7 +131,8 @@
 	return out
 }
 
-// listTasks asks what a worker holds. Runs that ask together share one call.
+// listTasks lists a worker's tasks. Concurrent listings of one worker share one
+// call.
 func (e actionCall) listTasks(ctx context.Context, a ListTasks) TasksListed {
 	tasks, err, _ := e.s.taskListings.Do(a.Worker, func() (any, error) {
 		var reply workerapi.TasksReply
@@ -156,7 +158,7 @@
 	return Checkpointed{Worker: a.Worker, OK: err == nil && reply.Code == workerapi.OK}
 }
 
-// stop is confirmed when the worker stopped the gang or does not know it.
+// stop reports OK when the worker stopped the gang or does not know it.
 func (e actionCall) stop(ctx context.Context, a Stop) Stopped {
 	var reply workerapi.Reply
 	err := e.callWorker(ctx, a.Worker, workerapi.PathStop, e.gangRequest(a.Reason), &reply)
--- a/gang/assignment.go
+++ b/gang/assignment.go
@@ -11,8 +11,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// assignedGangs lists the gangs of this host's share. A host that has never read the
-// ledger asks the workers instead.
+// assignedGangs returns the gangs that are assigned to this host, as read from
+// the ledger. A host that has never read the ledger asks the workers instead.
 func (r *renewer) assignedGangs(ctx context.Context) (out []AssignedGang) {
 	records, _, complete := r.o.Ledger.Snapshot()
 	if !complete {
@@ -32,7 +32,8 @@
 	return out
 }
 
-// gangsFromWorkers builds the roster from what the workers run: whole gangs only.
+// gangsFromWorkers returns the assigned gangs by the workers' task lists. It
+// leaves out gangs of which not every task is running or finished.
 func (r *renewer) gangsFromWorkers(ctx context.Context) []AssignedGang {
 	var mu sync.Mutex
 	found := make(map[workerapi.Gang]map[int]string)
@@ -87,8 +88,8 @@
 	return out
 }
 
-// gangAssignment splits gangs over the live entry hosts by the rack of their first
-// worker, so that most workers hear from one entry host only.
+// gangAssignment distributes gangs over the live entry hosts by the rack of their
+// first worker, so that most workers get renewals from one entry host only.
 type gangAssignment struct {
 	self  string
 	hosts []string
@@ -107,7 +108,8 @@
 	return sh
 }
 
-// assignedToSelf tells whether this host has the highest rendezvous hash for the rack.
+// assignedToSelf reports whether this host has the highest rendezvous hash for the
+// worker's rack.
 func (sh gangAssignment) assignedToSelf(worker string) bool {
 	rack := sh.racks[worker]
 	if rack == "" {
--- a/gang/client.go
+++ b/gang/client.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	workerCallTimeout     = time.Second // of one message to a worker
+	workerCallTimeout     = time.Second // of one call to a worker
 	maxWorkerReplyBytes   = 1 << 20     // bytes
 	maxIdleConnsPerWorker = 2           // connections
 )
 
-// WorkerCaller sends one message to the worker at an address. reply is a
-// pointer to the answer; args is nil for a listing. It is safe for concurrent use.
+// WorkerCaller calls the workerapi path of the worker at address. args is the
+// request, nil for workerapi.PathTasks; the answer is decoded into reply, a
+// pointer. Implementations are safe for concurrent use.
 type WorkerCaller interface {
 	Call(ctx context.Context, address, path string, args, reply any) error
 }
 
-// HTTPWorkerCaller speaks workerapi over HTTP.
+// HTTPWorkerCaller is a WorkerCaller over HTTP.
 type HTTPWorkerCaller struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTPWorkerCaller returns a caller with its own connections.
+// NewHTTPWorkerCaller returns an HTTPWorkerCaller with its own connection pool.
 func NewHTTPWorkerCaller() *HTTPWorkerCaller {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: workerCallTimeout}).DialContext,
@@ -43,7 +44,7 @@
 	return &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (h *HTTPWorkerCaller) Close() { h.client.CloseIdleConnections() }
 
 // Call implements WorkerCaller.
--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -13,9 +13,9 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Cycle does one round: takes over or drops the term, brings runs in line with
-// the ledger, stops what must end, and starts what may start. Only the loop,
-// or a test without one, calls it.
+// Cycle runs one scheduling cycle: it takes over or drops the term, reconciles
+// the runs with the ledger, stops runs that must end, and starts queued jobs.
+// Only loop, or a test that runs no loop, calls it.
 func (s *Scheduler) Cycle(ctx context.Context) {
 	began := time.Now()
 	defer func() { s.metrics.cycleSeconds.Update(time.Since(began).Seconds()) }()
@@ -38,7 +38,8 @@
 	s.saveEstimates(now)
 }
 
-// syncTerm drops everything held under another term than the present one.
+// syncTerm drops all runs when the election's term differs from the one that
+// they were started or adopted under. It reports whether this host holds a term.
 func (s *Scheduler) syncTerm(now time.Time) bool {
 	term, until, held := s.o.Election.Term()
 	held = held && now.Before(until)
@@ -52,11 +53,12 @@
 	}
 	s.term = term
 	s.loadEstimates()
-	s.o.Logger.Info("scheduling the failure domain", "failureDomain", s.o.FailureDomain, "term", term)
+	s.o.Logger.Info("took over scheduling of the failure domain", "failureDomain", s.o.FailureDomain, "term", term)
 	return true
 }
 
-// adoptRuns adopts what the ledger has as live and no run here knows.
+// adoptRuns drops runs that the ledger shows to be obsolete, and adopts jobs
+// that the ledger lists as live and for which there is no run here.
 func (s *Scheduler) adoptRuns(ctx context.Context, now time.Time, records map[string]job.Record) {
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
@@ -75,7 +77,8 @@
 	}
 }
 
-// applyObservations gives the runs what renewals taught. Repeating it is harmless.
+// applyObservations passes the stored observations of renewals to their runs.
+// Applying an observation again is idempotent.
 func (s *Scheduler) applyObservations(ctx context.Context) {
 	s.mu.Lock()
 	var observations []Observation
@@ -93,7 +96,7 @@
 	}
 }
 
-// event returns what the observation means to a run.
+// event converts the observation to the event that a run handles.
 func (o Observation) event() Event {
 	if o.Unreachable {
 		return WorkerLost{Worker: o.Worker, Reason: "worker " + o.Worker + " answered no renewal for a whole lease"}
@@ -131,7 +134,8 @@
 	}
 }
 
-// applyStopRequests ends what operators or callers want ended.
+// applyStopRequests stops the jobs that callers cancelled, whose service was
+// retired, or whose failure domain was taken out of service.
 func (s *Scheduler) applyStopRequests(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
@@ -152,8 +156,9 @@
 	}
 }
 
-// stopReason tells whether a job must stop, and into which state. Only an explicit
-// retirement counts: a service that is merely missing from a read does not.
+// stopReason reports whether a job must stop, why, and which state it then
+// enters. Only an explicit retirement stops a service's jobs; a service that is
+// merely missing from the configuration that was read does not.
 func (s *Scheduler) stopReason(rec job.Record, snap *config.Snapshot) (next job.State, reason string, ok bool) {
 	if rec.CancelBy != "" {
 		return job.Cancelled, "cancelled by " + rec.CancelBy, true
@@ -175,7 +180,8 @@
 	return CheckpointGrace
 }
 
-// decidePlacement asks placement what to start and reclaim, when starts are permitted.
+// decidePlacement starts and reclaims gangs as Options.Decide plans, provided
+// that starts are permitted.
 func (s *Scheduler) decidePlacement(ctx context.Context, now time.Time, records map[string]job.Record, snap *config.Snapshot) {
 	if err := s.permit.Check(now, s.term); err != nil {
 		s.metrics.permitsRefused.Inc()
@@ -194,7 +200,7 @@
 	}
 }
 
-// earlierTime returns the earlierTime of two moments; a zero one is never.
+// earlierTime returns the earlier of two times; the zero time means never.
 func earlierTime(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -256,7 +262,8 @@
 	}
 }
 
-// pruneObservations drops observations of gangs that the ledger no longer has as live.
+// pruneObservations drops the observations of gangs that the ledger no longer
+// lists as live.
 func (s *Scheduler) pruneObservations(records map[string]job.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gang/deficits_test.go
+++ b/gang/deficits_test.go
@@ -13,14 +13,14 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-type alwaysHolds struct{}
+type fixedTerm struct{}
 
-func (alwaysHolds) Term() (uint64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true }
+func (fixedTerm) Term() (uint64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true }
 
 // Each deficit is logged once, also when it takes the place of another.
 func TestEachDeficitIsLoggedOnce(t *testing.T) {
 	var logs bytes.Buffer
-	s := New(Options{Logger: log.New(&logs), Election: alwaysHolds{}})
+	s := New(Options{Logger: log.New(&logs), Election: fixedTerm{}})
 	shape := job.Shape{Tasks: 2, AcceleratorsPerTask: 8, Adjacency: job.SameRack}
 	one := placement.Deficit{Organisation: "one", Shape: shape, Missing: 1, Reason: "hosts are lost"}
 	two := placement.Deficit{Organisation: "two", Shape: shape, Missing: 1, Reason: "hosts are lost"}
--- a/gang/estimates.go
+++ b/gang/estimates.go
@@ -14,17 +14,17 @@
 	estimatesIOTimeout    = 10 * time.Second
 )
 
-// estimatesState tells what was learned since the estimates were last kept.
+// estimatesState tracks the loading and saving of the run time estimates.
 type estimatesState struct {
-	loaded  chan json.RawMessage // what an earlier scheduler kept
-	changed bool
+	loaded  chan json.RawMessage // estimates saved by an earlier scheduler
+	changed bool                 // since the last save
 	savedAt time.Time
 }
 
 func newEstimatesState() estimatesState { return estimatesState{loaded: make(chan json.RawMessage, 1)} }
 
-// recordOutcome takes a run's outcome into the estimates, the quarantine and the
-// counters, once a run.
+// recordOutcome updates the estimates, the quarantine and the counters with a
+// run's start and with its outcome, each once a run.
 func (s *Scheduler) recordOutcome(t *trackedRun, r RecordState) {
 	now := s.o.Now()
 	spec := t.record.Spec
@@ -57,8 +57,8 @@
 	}
 }
 
-// attributeFailure counts a failure against its worker or, when the job failed on several
-// workers, against the job.
+// attributeFailure counts a failure against its worker or, when the job failed
+// on several workers, against the job.
 func (s *Scheduler) attributeFailure(t *trackedRun, suspects []string, now time.Time) {
 	fleet := len(s.o.Membership.View().Workers(s.o.FailureDomain))
 	spec := t.record.Spec
@@ -73,7 +73,8 @@
 
 func (s *Scheduler) estimatesKey() string { return "estimates/" + s.o.FailureDomain }
 
-// loadEstimates reads what an earlier scheduler kept, beside the loop.
+// loadEstimates reads the estimates that an earlier scheduler saved, without
+// blocking the loop.
 func (s *Scheduler) loadEstimates() {
 	s.estimatesState.savedAt = s.o.Now()
 	if s.o.Notes == nil {
@@ -96,13 +97,14 @@
 func (s *Scheduler) replaceEstimates(saved json.RawMessage) {
 	next := placement.NewEstimates()
 	if err := json.Unmarshal(saved, next); err != nil {
-		s.o.Logger.Warn("kept run times are unreadable; learning anew", "err", err.Error())
+		s.o.Logger.Warn("saved run time estimates are unreadable; ignoring them", "err", err.Error())
 		return
 	}
 	s.estimates = next
 }
 
-// saveEstimates keeps the estimates now and then, beside the loop.
+// saveEstimates saves changed estimates at most once per estimatesSaveInterval,
+// without blocking the loop.
 func (s *Scheduler) saveEstimates(now time.Time) {
 	if s.o.Notes == nil || !s.estimatesState.changed || now.Sub(s.estimatesState.savedAt) < estimatesSaveInterval {
 		return
@@ -119,7 +121,7 @@
 			return note, true, nil
 		})
 		if err != nil {
-			s.o.Logger.Warn("learned run times were not kept", "err", err.Error())
+			s.o.Logger.Warn("could not save run time estimates", "err", err.Error())
 		}
 	})
 }
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -20,26 +20,26 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// gate is a WorkerCaller that acts at the nth message of a path, before it is
+// interceptor is a WorkerCaller that acts at the nth message of a path, before it is
 // sent: once it has returned true, no message of this host gets through.
-type gate struct {
+type interceptor struct {
 	gang.WorkerCaller
-	path string
-	nth  int
-	act  func() (dead bool)
+	path    string
+	nthCall int
+	act     func() (dead bool)
 
-	mu   sync.Mutex
-	seen int
-	dead bool
-	done atomic.Int32 // messages of the path that were answered
+	mu       sync.Mutex
+	seen     int
+	dead     bool
+	answered atomic.Int32 // messages of the path that were answered
 }
 
-func (g *gate) Call(ctx context.Context, address, path string, args, reply any) error {
+func (g *interceptor) Call(ctx context.Context, address, path string, args, reply any) error {
 	g.mu.Lock()
 	if path == g.path {
 		g.seen++
 	}
-	if path == g.path && g.seen == g.nth && !g.dead {
+	if path == g.path && g.seen == g.nthCall && !g.dead {
 		g.dead = g.act()
 	}
 	dead := g.dead
@@ -49,31 +49,31 @@
 	}
 	err := g.WorkerCaller.Call(ctx, address, path, args, reply)
 	if path == g.path {
-		g.done.Add(1)
+		g.answered.Add(1)
 	}
 	return err
 }
 
-// mortal is a store that takes no more writes once its host is dead.
-type mortal struct {
+// stoppableStore is a store that takes no more writes once its host is dead.
+type stoppableStore struct {
 	kvstore.Store
 	dead *atomic.Bool
 }
 
-func (m mortal) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
+func (m stoppableStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
 	if m.dead.Load() {
 		return kvstore.Entry{}, kvstore.ErrUnavailable
 	}
 	return m.Store.CompareAndSwap(ctx, key, value, version)
 }
 
-// watchCopies fails the test if two generations of the job ever run together.
-func (c *cluster) watchCopies(s job.Spec) {
+// failOnTwoGenerations fails the test if two generations of the job ever run together.
+func (c *cluster) failOnTwoGenerations(s job.Spec) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			if n := c.running(s); len(n) > 1 {
+			if n := c.runningTasks(s); len(n) > 1 {
 				c.t.Errorf("two copies run: %v", n)
 				return
 			}
@@ -83,12 +83,12 @@
 	c.t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-func holds(t *testing.T, what string, is func() bool) {
+func waitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.Timeout(30*time.Second), wait.Gap(10*time.Millisecond), wait.BoolFunc(is)), must.Sprint(what))
 }
 
-func TestSchedulerKilledAtAnyMoment(t *testing.T) {
+func TestNewSchedulerRestartsGangAfterKill(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name    string
@@ -108,14 +108,14 @@
 			c := newCluster(t, 2, nil)
 			s := spec("a", 2)
 			s.Checkpoint = true
-			c.watchCopies(s)
+			c.failOnTwoGenerations(s)
 			killed := make(chan struct{})
 			var reclaim sync.Once
 			var dead atomic.Bool
 			whole := c.client
-			c.client = mortal{whole, &dead}
-			one := c.entryHost(1, func(o *gang.Options) {
-				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, nth: tc.nth, act: func() bool {
+			c.client = stoppableStore{whole, &dead}
+			one := c.startEntryHost(1, func(o *gang.Options) {
+				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, nthCall: tc.nth, act: func() bool {
 					dead.Store(true)
 					close(killed)
 					return true
@@ -133,9 +133,9 @@
 			one.term.set(0)
 			one.stop()
 			c.client = whole
-			two := c.entryHost(2, nil)
-			rec := c.reaches(two, s, job.Running)
-			must.Eq(t, map[uint64]int{rec.Generation: 2}, c.running(s))
+			two := c.startEntryHost(2, nil)
+			rec := c.waitForState(two, s, job.Running)
+			must.Eq(t, map[uint64]int{rec.Generation: 2}, c.runningTasks(s))
 			must.EqOp(t, 2, rec.Generation, must.Sprint(rec.History))
 		})
 	}
@@ -145,22 +145,22 @@
 	t.Parallel()
 	c := newCluster(t, 2, nil)
 	s := spec("a", 2)
-	one := c.entryHost(1, nil)
+	one := c.startEntryHost(1, nil)
 	c.submit(one, s)
-	c.reaches(one, s, job.Running)
+	c.waitForState(one, s, job.Running)
 	one.stop()
-	two := c.entryHost(2, nil)
+	two := c.startEntryHost(2, nil)
 	c.submit(two, spec("b", 1))
-	holds(t, "the new scheduler knows the job waits for capacity", func() bool {
+	waitUntil(t, "the new scheduler knows the job waits for capacity", func() bool {
 		_, known := two.gang.WaitReason(spec("b", 1).ID)
 		return known
 	})
-	must.Eq(t, map[uint64]int{1: 2}, c.running(s))
+	must.Eq(t, map[uint64]int{1: 2}, c.runningTasks(s))
 }
 
-// TestStartIsRefusedAfterTakingOut covers the moments at which a start could
+// TestStartIsRefusedOutOfService covers the moments at which a start could
 // still slip through once operators have taken the failure domain out.
-func TestStartIsRefusedAfterTakingOut(t *testing.T) {
+func TestStartIsRefusedOutOfService(t *testing.T) {
 	t.Parallel()
 	takeOut := func(s *config.Snapshot) {
 		s.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1", Out: true}}
@@ -170,26 +170,26 @@
 		act  func(c *cluster)
 	}{
 		{"known between reserve and start", func(c *cluster) { c.config.edit(takeOut) }},
-		{"cut off from the platform", func(c *cluster) { c.config.stale(3 * time.Second) }},
+		{"cut off from the platform", func(c *cluster) { c.config.setConfirmationAge(3 * time.Second) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, 2, nil)
 			s := spec("a", 2)
-			e := c.entryHost(1, func(o *gang.Options) {
-				o.Workers = &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathReserve, nth: 2, act: func() bool {
+			e := c.startEntryHost(1, func(o *gang.Options) {
+				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathReserve, nthCall: 2, act: func() bool {
 					tc.act(c)
 					return false
 				}}
 			})
 			c.submit(e, s)
-			c.reaches(e, s, job.Queued) // at once, or after the refusal
-			holds(t, "the start was refused", func() bool {
+			c.waitForState(e, s, job.Queued) // at once, or after the refusal
+			waitUntil(t, "the start was refused", func() bool {
 				rec, err := e.intake.Find(context.Background(), org, s.ID)
 				return err == nil && rec.State == job.Queued && rec.Generation == 1
 			})
-			must.MapEmpty(t, c.running(s))
+			must.MapEmpty(t, c.runningTasks(s))
 			for _, w := range c.workers {
 				for _, task := range w.Tasks().Tasks { // ended tasks are listed too
 					must.EqOp(t, workerapi.TaskReserved, task.State, must.Sprint("no task was ever started"))
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestStartDelayedOnItsWayFindsNoReservation(t *testing.T) {
+func TestDelayedStartFindsReservationExpired(t *testing.T) {
 	t.Parallel()
 	var late sync.Once
 	c := newCluster(t, 1, func(int) worker.Options {
@@ -211,39 +211,39 @@
 		}}
 	})
 	s := spec("a", 1)
-	c.watchCopies(s)
-	e := c.entryHost(1, nil)
+	c.failOnTwoGenerations(s)
+	e := c.startEntryHost(1, nil)
 	c.submit(e, s)
-	rec := c.reaches(e, s, job.Running)
+	rec := c.waitForState(e, s, job.Running)
 	must.EqOp(t, 2, rec.Generation, must.Sprint("the first generation never ran"))
 }
 
-// TestOldSchedulerPausedOverAHandover freezes a scheduler between its last
+// TestStaleStartIsRefusedAfterHandover freezes a scheduler between its last
 // check and its start message, for longer than its term.
-func TestOldSchedulerPausedOverAHandover(t *testing.T) {
+func TestStaleStartIsRefusedAfterHandover(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
 	s := spec("a", 2)
-	c.watchCopies(s)
+	c.failOnTwoGenerations(s)
 	frozen, thaw := make(chan struct{}), make(chan struct{})
-	paused := &gate{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, nth: 1, act: func() bool {
+	paused := &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, nthCall: 1, act: func() bool {
 		close(frozen)
 		<-thaw
 		return false
 	}}
-	one := c.entryHost(1, func(o *gang.Options) { o.Workers = paused })
+	one := c.startEntryHost(1, func(o *gang.Options) { o.Workers = paused })
 	c.submit(one, s)
 	<-frozen
-	two := c.entryHost(2, nil)
-	rec := c.reaches(two, s, job.Running)
+	two := c.startEntryHost(2, nil)
+	rec := c.waitForState(two, s, job.Running)
 	must.EqOp(t, 2, rec.Generation)
 	close(thaw)
-	holds(t, "the old scheduler's start messages arrive", func() bool { return paused.done.Load() == 2 })
+	waitUntil(t, "the old scheduler's start messages arrive", func() bool { return paused.answered.Load() == 2 })
 	one.stop()
-	must.Eq(t, map[uint64]int{2: 2}, c.running(s))
+	must.Eq(t, map[uint64]int{2: 2}, c.runningTasks(s))
 }
 
-func TestStartWithLostAnswerLeavesNoPart(t *testing.T) {
+func TestStartWithLostAnswerRestartsWholeGang(t *testing.T) {
 	t.Parallel()
 	var lost sync.Once
 	c := newCluster(t, 2, func(i int) worker.Options {
@@ -255,83 +255,83 @@
 		}}
 	})
 	s := spec("a", 2)
-	c.watchCopies(s)
-	e := c.entryHost(1, nil)
+	c.failOnTwoGenerations(s)
+	e := c.startEntryHost(1, nil)
 	c.submit(e, s)
-	c.reaches(e, s, job.Running)
-	must.Eq(t, map[uint64]int{2: 2}, c.running(s))
+	c.waitForState(e, s, job.Running)
+	must.Eq(t, map[uint64]int{2: 2}, c.runningTasks(s))
 }
 
-func TestRetirementStopsOnlyWhatIsRetired(t *testing.T) {
+func TestOnlyRetirementCancelsJobsOfAService(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 1, nil)
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	runs, waits := spec("runs", 1), spec("waits", 1)
 	runs.Checkpoint = true
 	c.submit(e, runs)
-	c.reaches(e, runs, job.Running)
+	c.waitForState(e, runs, job.Running)
 	c.submit(e, waits)
 
 	// A read that lost the service's document, or every document, retires nothing.
 	c.config.edit(func(s *config.Snapshot) { s.Services = map[string]config.Service{} })
 	time.Sleep(3 * time.Second) // several cycles
-	must.Eq(t, map[uint64]int{1: 1}, c.running(runs))
-	must.EqOp(t, job.Queued, c.reaches(e, waits, job.Queued).State)
+	must.Eq(t, map[uint64]int{1: 1}, c.runningTasks(runs))
+	must.EqOp(t, job.Queued, c.waitForState(e, waits, job.Queued).State)
 
 	c.config.edit(func(s *config.Snapshot) { s.Retired = map[string]uint64{"svc": 9} })
 	for _, s := range []job.Spec{runs, waits} {
-		rec := c.reaches(e, s, job.Cancelled)
+		rec := c.waitForState(e, s, job.Cancelled)
 		must.StrContains(t, rec.Reason, "svc was retired at revision 9")
 	}
-	must.MapEmpty(t, c.running(runs))
+	must.MapEmpty(t, c.runningTasks(runs))
 	tasks := c.workers[0].Tasks().Tasks
 	must.Len(t, 1, tasks)
 	must.False(t, tasks[0].Checkpointed.IsZero(), must.Sprint("its work was saved"))
 }
 
-func TestTakingOutStopsGangsWithCheckpoint(t *testing.T) {
+func TestTakingOutOfServiceCheckpointsAndRequeuesGangs(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	s := spec("a", 2)
 	s.Checkpoint = true
 	c.submit(e, s)
-	c.reaches(e, s, job.Running)
+	c.waitForState(e, s, job.Running)
 	c.config.edit(func(s *config.Snapshot) {
 		s.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1", Out: true}}
 	})
-	rec := c.reaches(e, s, job.Queued)
-	must.MapEmpty(t, c.running(s))
+	rec := c.waitForState(e, s, job.Queued)
+	must.MapEmpty(t, c.runningTasks(s))
 	must.False(t, rec.Checkpointed.IsZero())
 	c.config.edit(func(s *config.Snapshot) {
 		s.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}}
 	})
-	c.reaches(e, s, job.Running)
+	c.waitForState(e, s, job.Running)
 }
 
-func TestJobThatFailsEverywhereFails(t *testing.T) {
+func TestJobFailsAfterMaxFailures(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, func(int) worker.Options {
 		return worker.Options{Fail: func(workerapi.Gang, int) bool { return true }}
 	})
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	s := spec("a", 1)
 	c.submit(e, s)
-	rec := c.reaches(e, s, job.Failed)
+	rec := c.waitForState(e, s, job.Failed)
 	must.EqOp(t, 3, rec.Failures)
 	must.StrContains(t, rec.Reason, "failed too often")
 }
 
-func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
+func TestWorkerThatFailsAllTasksIsQuarantined(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 7, func(i int) worker.Options {
 		return worker.Options{Fail: func(workerapi.Gang, int) bool { return i == 0 }}
 	})
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		s := spec(name, 1)
 		c.submit(e, s)
-		holds(t, "the job runs on a sound worker", func() bool {
+		waitUntil(t, "the job runs on a sound worker", func() bool {
 			rec, err := e.intake.Find(context.Background(), org, s.ID)
 			return err == nil && rec.State == job.Running && rec.Workers[0] != "w0"
 		})
--- a/gang/messages.go
+++ b/gang/messages.go
@@ -7,27 +7,28 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Event is something that a run learns.
+// Event is an input of a run: a reply to one of its actions, a request to stop
+// or the passing of time.
 type Event interface{ event() }
 
-// Recorded says that the ledger took the run's last record, or may not have.
-// Superseded means that the ledger has the job in a state that this run can
-// not lead to.
+// Recorded is the result of a RecordState. When OK is false, the ledger may or
+// may not hold the state. Superseded means that the ledger has the job in a
+// state that this run cannot lead to.
 type Recorded struct {
 	State      job.State
 	OK         bool
 	Superseded bool
 }
 
-// Reserved is a worker's answer to a reservation; Code is empty when none came.
+// Reserved is a worker's answer to a Reserve; Code is empty when none came.
 type Reserved struct {
 	Worker string
 	Code   workerapi.Code
 	Reason string
 }
 
-// Started is a worker's answer to a start. Sent is false when the message was
-// never sent, because its permit was refused.
+// Started is a worker's answer to a Start. Sent is false when the request was
+// never sent, because its permit was refused. Code is empty when none came.
 type Started struct {
 	Worker string
 	Sent   bool
@@ -35,44 +36,47 @@
 	Reason string
 }
 
-// TasksListed is what a worker holds of the run's gang. Known is false when the
-// worker did not answer.
+// TasksListed lists a worker's tasks; those of other gangs are ignored. Answered
+// is false when the worker did not answer.
 type TasksListed struct {
 	Worker   string
 	Answered bool
 	Tasks    []workerapi.Task
 }
 
-// WorkerLost says that a worker's tasks could not be renewed for a whole lease.
+// WorkerLost reports that a worker confirmed no renewal of the gang for a whole
+// lease.
 type WorkerLost struct {
 	Worker string
 	Reason string
 }
 
-// StopRequest asks the run to end by choice: checkpoint, grace, stop.
+// StopRequest asks the run to stop its gang: to checkpoint it within Grace, then
+// to stop it.
 type StopRequest struct {
-	NextState job.State // Queued to run again, or a terminal state
+	NextState job.State // state of the job afterwards: Queued to run again, or a terminal state
 	Reason    string
 	Grace     time.Duration // 0: stop without a checkpoint
 }
 
-// Checkpointed says that a worker saved its tasks' work, or did not.
+// Checkpointed reports whether a worker checkpointed its tasks.
 type Checkpointed struct {
 	Worker string
 	OK     bool
 }
 
-// Stopped is a worker's answer to a stop; OK means that none of the gang's
-// tasks runs there and none can start any more.
+// Stopped is a worker's answer to a Stop; OK means that none of the gang's tasks
+// runs there and none can start any more.
 type Stopped struct {
 	Worker string
 	OK     bool
 }
 
-// Fenced says that every entry host has promised to renew the gang no more.
+// Fenced is the result of a Fence. OK means that every entry host has confirmed
+// that it will not renew the gang's leases again.
 type Fenced struct{ OK bool }
 
-// Tick says that time has passed.
+// Tick makes the run check its timeouts and retries.
 type Tick struct{}
 
 func (Recorded) event()     {}
@@ -86,47 +90,48 @@
 func (Fenced) event()       {}
 func (Tick) event()         {}
 
-// Action is something that a run wants done.
+// Action is an output of a run: I/O that the scheduler does for it.
 type Action interface{ action() }
 
-// RecordState asks for the run's state in the ledger.
+// RecordState writes the run's state to the ledger.
 type RecordState struct {
 	State          job.State
 	Reason         string
-	Failed         bool     // the run ended in failure
+	Failed         bool     // a task failed
 	SuspectWorkers []string // workers on which tasks failed
-	Checkpointed   bool     // every task saved its work
-	FatalReason    string   // why the job itself is at fault; empty: it may run again
+	Checkpointed   bool     // every worker checkpointed its tasks
+	FatalReason    string   // why the job itself fails for good; empty: it may run again
 }
 
-// Reserve asks for a reservation on a worker.
+// Reserve reserves accelerators on a worker.
 type Reserve struct {
 	Worker string
 	Tasks  []int
 }
 
-// Start asks to start reserved tasks, under a permit checked just before.
+// Start starts reserved tasks. The permit is checked immediately before the
+// request is sent.
 type Start struct {
 	Worker string
 	Tasks  []int
 }
 
-// ListTasks asks what a worker holds.
+// ListTasks lists a worker's tasks.
 type ListTasks struct{ Worker string }
 
-// Checkpoint asks a worker to save the work of the gang's tasks.
+// Checkpoint checkpoints the gang's tasks on a worker.
 type Checkpoint struct {
 	Worker string
 	Grace  time.Duration
 }
 
-// Stop asks a worker to end the gang's tasks and reservations for good.
+// Stop permanently ends the gang's tasks and reservations on a worker.
 type Stop struct {
 	Worker string
 	Reason string
 }
 
-// Fence asks every entry host to renew the gang no more.
+// Fence makes every entry host stop renewing the gang's leases for good.
 type Fence struct{}
 
 func (RecordState) action() {}
--- a/gang/metrics.go
+++ b/gang/metrics.go
@@ -2,6 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
+// schedulerMetrics are the metrics of a Scheduler.
 type schedulerMetrics struct {
 	cycleSeconds   *metrics.Histogram
 	gangsPlaced    *metrics.Counter
--- a/gang/move_test.go
+++ b/gang/move_test.go
@@ -16,9 +16,9 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// TestGangLeavesAFailureDomainThatIsOut takes out the failure domain of a
+// TestGangMovesFromFailureDomainTakenOutOfService takes out the failure domain of a
 // running gang: it is stopped there, moved, and runs in the other one.
-func TestGangLeavesAFailureDomainThatIsOut(t *testing.T) {
+func TestGangMovesFromFailureDomainTakenOutOfService(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4, nil)
 	for i := range c.view.view.Hosts {
@@ -32,27 +32,27 @@
 		}
 	}
 	c.config.edit(both(false))
-	one := c.entryHost(1, nil)
-	c.secondEntryHost()
+	one := c.startEntryHost(1, nil)
+	c.startSecondEntryHost()
 	s := spec("a", 2)
 	s.Checkpoint = true
-	c.watchCopies(s)
+	c.failOnTwoGenerations(s)
 	c.submit(one, s)
-	c.reaches(one, s, job.Running)
+	c.waitForState(one, s, job.Running)
 
 	c.config.edit(both(true))
-	holds(t, "the gang runs in the other failure domain", func() bool {
+	waitUntil(t, "the gang runs in the other failure domain", func() bool {
 		rec, err := one.intake.Find(context.Background(), org, s.ID)
 		return err == nil && rec.State == job.Running && rec.Moves == 1
 	})
-	rec := c.reaches(one, s, job.Running)
+	rec := c.waitForState(one, s, job.Running)
 	must.SliceContainsAll(t, []string{"w2", "w3"}, rec.Workers)
-	must.Eq(t, map[uint64]int{2: 2}, c.running(s))
+	must.Eq(t, map[uint64]int{2: 2}, c.runningTasks(s))
 	must.False(t, rec.Checkpointed.IsZero())
 }
 
-// secondEntryHost schedules fd2, and moves queued jobs to it.
-func (c *cluster) secondEntryHost() {
+// startSecondEntryHost schedules fd2, and moves queued jobs to it.
+func (c *cluster) startSecondEntryHost() {
 	term := &fakeTerm{term: 7}
 	ledgers := ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
 	in := intake.New(intake.Options{FailureDomain: "fd2", Ledgers: ledgers, Config: c.config, Membership: c.view, Election: term})
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -17,20 +17,20 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// quietWorld has no random faults, and its first host holds the term.
-func quietWorld(t *testing.T) *world {
-	w := newWorld(t, 1)
-	w.calm = true
+// newFaultFreeSimulation has no random faults, and its first host holds the term.
+func newFaultFreeSimulation(t *testing.T) *simulation {
+	w := newSimulation(t, 1)
+	w.faultFree = true
 	w.runTime = time.Hour
-	w.hosts[1].cut = true
-	w.run(3 * time.Second)
-	w.hosts[1].cut = false
-	w.run(2 * time.Second)
+	w.hosts[1].platformCut = true
+	w.advance(3 * time.Second)
+	w.hosts[1].platformCut = false
+	w.advance(2 * time.Second)
 	return w
 }
 
-// running returns the generation that runs of a job; 0: none.
-func (w *world) running(key string) uint64 {
+// runningGeneration returns the generation that runs of a job; 0: none.
+func (w *simulation) runningGeneration(key string) uint64 {
 	for _, s := range w.workers {
 		for _, t := range s.Tasks().Tasks {
 			if t.State == workerapi.TaskRunning && t.Gang.Job == key {
@@ -41,58 +41,58 @@
 	return 0
 }
 
-func TestOutageStartsNothingAndStopsNothing(t *testing.T) {
+func TestPlatformOutageStartsAndStopsNoGang(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
+	w := newFaultFreeSimulation(t)
 	lost := w.ledger["o/s/0"]
-	w.down = true
-	w.run(termLength + 5*time.Second) // no scheduler any more
-	w.workers[number(lost.Workers[0])].Restart()
+	w.platformDown = true
+	w.advance(termDuration + 5*time.Second) // no scheduler any more
+	w.workers[workerIndex(lost.Workers[0])].Restart()
 	before := w.starts
-	w.run(30 * time.Minute)
+	w.advance(30 * time.Minute)
 	must.EqOp(t, before, w.starts)
-	must.EqOp(t, 0, w.running("o/s/0"))
+	must.EqOp(t, 0, w.runningGeneration("o/s/0"))
 	kept := 0
 	for key, rec := range w.ledger {
 		if !slices.Contains(rec.Workers, lost.Workers[0]) {
-			must.EqOp(t, rec.Generation, w.running(key))
+			must.EqOp(t, rec.Generation, w.runningGeneration(key))
 			kept++
 		}
 	}
 	must.Positive(t, kept)
-	w.down = false
-	w.run(time.Minute)
-	must.Greater(t, 1, w.running("o/s/0"))
+	w.platformDown = false
+	w.advance(time.Minute)
+	must.Greater(t, 1, w.runningGeneration("o/s/0"))
 }
 
-func TestFrozenWorkersGangRestartsOnceItsLeaseLapsed(t *testing.T) {
+func TestUnreachableGangRestartsAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
-	k := number(w.ledger["o/s/0"].Workers[0])
-	w.links[0][k], w.links[1][k] = true, true
-	w.run(LeaseDuration - RenewInterval)
-	must.EqOp(t, 1, w.running("o/s/0"), must.Sprint("its lease has not lapsed"))
-	w.run(2 * time.Minute)
-	again := w.running("o/s/0")
+	w := newFaultFreeSimulation(t)
+	k := workerIndex(w.ledger["o/s/0"].Workers[0])
+	w.linksCut[0][k], w.linksCut[1][k] = true, true
+	w.advance(LeaseDuration - RenewInterval)
+	must.EqOp(t, 1, w.runningGeneration("o/s/0"), must.Sprint("its lease has not lapsed"))
+	w.advance(2 * time.Minute)
+	again := w.runningGeneration("o/s/0")
 	must.Greater(t, 1, again)
-	w.links[0][k], w.links[1][k] = false, false
-	w.run(time.Minute)
-	must.EqOp(t, again, w.running("o/s/0"))
+	w.linksCut[0][k], w.linksCut[1][k] = false, false
+	w.advance(time.Minute)
+	must.EqOp(t, again, w.runningGeneration("o/s/0"))
 }
 
-// TestCutOffRenewerIsFenced has a host that knows only an old ledger and still
+// TestGangRestartsOnlyAfterPartitionedRenewerIsFenced has a host that knows only an old ledger and still
 // reaches a worker that the scheduler can not reach.
-func TestCutOffRenewerIsFenced(t *testing.T) {
+func TestGangRestartsOnlyAfterPartitionedRenewerIsFenced(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
-	k := number(w.ledger["o/s/0"].Workers[0])
-	w.hosts[1].cut, w.apart = true, true
-	w.links[0][k] = true
-	w.run(5 * time.Minute)
-	must.EqOp(t, 1, w.running("o/s/0"), must.Sprint("the other host goes on renewing"))
-	w.apart = false
-	w.run(5 * time.Minute)
-	must.Greater(t, 1, w.running("o/s/0"))
+	w := newFaultFreeSimulation(t)
+	k := workerIndex(w.ledger["o/s/0"].Workers[0])
+	w.hosts[1].platformCut, w.hostsPartitioned = true, true
+	w.linksCut[0][k] = true
+	w.advance(5 * time.Minute)
+	must.EqOp(t, 1, w.runningGeneration("o/s/0"), must.Sprint("the other host goes on renewing"))
+	w.hostsPartitioned = false
+	w.advance(5 * time.Minute)
+	must.Greater(t, 1, w.runningGeneration("o/s/0"))
 }
 
 // fixedView is a membership.Source that never changes.
@@ -100,9 +100,9 @@
 
 func (f *fixedView) View() *membership.View { return &f.view }
 
-// TestHostBootedInAnOutageRenewsWholeGangs has an entry host that never read
+// TestHostStartedDuringOutageRenewsOnlyWholeGangs has an entry host that never read
 // the ledger: it keeps what the workers run, but no gang in part.
-func TestHostBootedInAnOutageRenewsWholeGangs(t *testing.T) {
+func TestHostStartedDuringOutageRenewsOnlyWholeGangs(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_000_000, 0)
 	view := &fixedView{membership.View{Self: kvstore.Host{Name: "entry", Kind: kvstore.EntryHost, FailureDomain: "fd1"}}}
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -19,18 +19,19 @@
 	methodSummary = peerService + ".Summary"
 )
 
-// stopRenewing promises that this host renews the gang no more, and waits for
-// messages already under way.
+// stopRenewing makes this host stop renewing the gang's leases for good. It
+// returns once no renewal of the current round is in flight.
 func (r *renewer) stopRenewing(g workerapi.Gang) {
 	r.mu.Lock()
 	r.planner.StopRenewing(r.o.Now(), g)
 	r.mu.Unlock()
-	r.roundMu.Lock() // waits for the present round
+	r.roundMu.Lock() // waits for the current round
 	defer r.roundMu.Unlock()
 }
 
-// fenceGang gets that promise from every entry host that may renew the gang, the
-// silent ones included: one that does not answer may still renew.
+// fenceGang makes every entry host of the failure domain stop renewing the gang,
+// and reports whether all confirmed it. Unresponsive hosts count as well, since
+// a host that does not answer may still renew.
 func (r *renewer) fenceGang(ctx context.Context, g workerapi.Gang) bool {
 	r.stopRenewing(g)
 	view := r.o.Membership.View()
@@ -53,30 +54,31 @@
 	return r.o.Peers.Call(ctx, address, methodRelease, g, &Ack{}) == nil
 }
 
-// Ack is the answer of a peer method that returns nothing else.
+// Ack is the reply of a peer method that returns no data.
 type Ack struct{ OK bool }
 
-// HoldReply is the answer to a question why a job waits.
+// HoldReply says why a queued job waits. Known is false when the answering host
+// has no reason for the job.
 type HoldReply struct {
 	Reason string
 	Known  bool
 }
 
-// RegisterPeer offers the renewal and explanation methods to other entry hosts.
+// RegisterPeer registers the methods that other entry hosts call.
 func (s *Scheduler) RegisterPeer(server *peer.Server) error {
 	return server.Register(peerService, &peerMethods{s})
 }
 
 type peerMethods struct{ s *Scheduler }
 
-// Release promises to renew a gang no more.
+// Release makes this host stop renewing a gang's leases for good.
 func (p *peerMethods) Release(g workerapi.Gang, reply *Ack) error {
 	p.s.renewer.stopRenewing(g)
 	reply.OK = true
 	return nil
 }
 
-// Observe takes what another entry host's renewals taught.
+// Observe stores observations of another entry host's renewals.
 func (p *peerMethods) Observe(observations []Observation, reply *Ack) error {
 	for _, o := range observations {
 		p.s.Observe(o)
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// Hold tells why a queued job waits, if this host schedules.
+// Hold returns why a queued job waits, if this host schedules the failure domain.
 func (p *peerMethods) Hold(id job.ID, reply *HoldReply) error {
 	reply.Reason, reply.Known = p.s.WaitReason(id)
 	return nil
--- a/gang/permit.go
+++ b/gang/permit.go
@@ -8,19 +8,19 @@
 	"github.com/cyclamentray/cyclamentray/election"
 )
 
-// MaxConfigAge is the oldest confirmation of the configuration that still allows
-// a start, measured from before the platform was asked.
+// MaxConfigAge is the maximum age of the configuration's last confirmation at
+// which a start is permitted. The age counts from before the platform was asked.
 const MaxConfigAge = 2 * time.Second
 
-// Permit tells whether a start message may be sent at this moment.
+// Permit decides whether this host may send a start request now.
 type Permit struct {
 	FailureDomain string
 	Config        config.Source
 	Election      election.Holder
 }
 
-// Check returns nil when a start under the term may be sent now. It is asked
-// again just before each start message.
+// Check returns nil when a start under the term may be sent now. It is called
+// again immediately before each start request.
 func (p Permit) Check(now time.Time, term uint64) error {
 	current, until, held := p.Election.Term()
 	if !held || current != term || !now.Before(until) {
--- a/gang/records.go
+++ b/gang/records.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// recordWriteTimeout bounds one write of a run's state to the ledger.
+	// recordWriteTimeout limits one write of a job's record to the ledger.
 	recordWriteTimeout = 4 * time.Second
-	// defaultMaxFailures applies when the template gives none.
+	// defaultMaxFailures applies when the job template sets no maximum.
 	defaultMaxFailures = 3
 )
 
 // errSuperseded means that the ledger has the job at another generation or in
-// a state from which the wanted one does not follow.
-var errSuperseded = errors.New("gang: the ledger has the job elsewhere; drop this run")
+// a state that cannot change to the requested one.
+var errSuperseded = errors.New("gang: run is superseded by the job's record in the ledger")
 
-// writeState brings the ledger to the run's state.
+// writeState writes the run's state to the ledger.
 func (e actionCall) writeState(ctx context.Context, a RecordState) Recorded {
 	ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
@@ -45,8 +45,9 @@
 	return defaultMaxFailures
 }
 
-// transition returns the record after a run's step. It gives the same answer
-// when the step is already in old, as a lost answer may have it written twice.
+// transition returns the record after a run's change of state. It is idempotent,
+// since a write whose answer was lost is repeated: when old already has the
+// state, it returns old.
 func transition(old job.Record, found bool, rec job.Record, a RecordState, limit int, now time.Time) (job.Record, error) {
 	if !found {
 		return old, errSuperseded
@@ -96,7 +97,8 @@
 	return next, nil
 }
 
-// requeueRecord lets a job run again, unless it was cancelled or failed too often.
+// requeueRecord puts a job back in the queue. It ends the job instead when it was
+// cancelled, failed for good or failed too often.
 func requeueRecord(next *job.Record, a RecordState, limit int, now time.Time) {
 	if a.Failed {
 		next.Failures++
@@ -119,7 +121,7 @@
 	}
 }
 
-// endQueued records the endQueued of a job that waits in the queue.
+// endQueued writes the end of a queued job to the ledger.
 func (s *Scheduler) endQueued(ctx context.Context, key string, state job.State, reason string) {
 	if !s.beginEndWrite(key) {
 		return
@@ -137,12 +139,13 @@
 			return old, true, nil
 		})
 		if err != nil {
-			s.o.Logger.Warn("a queued job's end was not recorded; it is tried again", "job", key, "err", err.Error())
+			s.o.Logger.Warn("could not record the end of a queued job; retrying", "job", key, "err", err.Error())
 		}
 	})
 }
 
-// beginEndWrite keeps a second write of the same job's end from starting.
+// beginEndWrite reports whether the job's end may be written, and prevents
+// concurrent writes of it until finishEndWrite.
 func (s *Scheduler) beginEndWrite(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,6 +156,7 @@
 	return true
 }
 
+// finishEndWrite allows the job's end to be written again.
 func (s *Scheduler) finishEndWrite(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -7,67 +7,72 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// AssignedGang is a gang whose leases are to be kept, and its workers.
+// AssignedGang is a gang whose leases this host renews, and its workers.
 type AssignedGang struct {
 	Gang    workerapi.Gang
 	Workers []string // distinct
 }
 
-// RenewalBatch is one renewal message to a worker. A probe extends nothing.
+// RenewalBatch is one renewal request to a worker. A probe asks which gangs run
+// and extends no lease.
 type RenewalBatch struct {
 	Worker string
 	Gangs  []workerapi.Gang
 	Probe  bool
 }
 
-// Observation is what a renewal taught about a gang on a worker. Unreachable
-// means that the worker answered no renewal for a whole lease.
+// Observation is what a renewal found out about a gang on a worker. Unreachable
+// means that the worker confirmed no renewal for a whole lease.
 type Observation struct {
 	Gang        workerapi.Gang
 	Worker      string
-	Tasks       []workerapi.Task // the gang's tasks that the worker remembers as ended
+	Tasks       []workerapi.Task // the gang's ended tasks that the worker still lists
 	Unreachable bool
 }
 
-// releaseRetention is how long a promise is remembered: far longer than the ledger
-// lists a generation that has ended.
+// releaseRetention is how long a gang is kept out of renewal after StopRenewing:
+// far longer than the ledger lists a generation that has ended.
 const releaseRetention = time.Hour
 
+// memberLease is the renewal state of a gang's tasks on one worker.
 type memberLease struct {
-	confirmedAt time.Time // last renewal or probe that the worker confirmed
-	confirmed   bool      // confirmed the last message
+	confirmedAt time.Time // time of the last renewal or probe that the worker confirmed
+	confirmed   bool      // the worker confirmed the last renewal or probe
 	finished    bool      // all its tasks finished; nothing to renew
 }
 
+// gangLeases is the renewal state of one gang.
 type gangLeases struct {
 	assignedAt time.Time
 	workers    map[string]*memberLease
 	probing    bool // a probe was sent since the last renewal
-	abandoned  bool // a member is lost: renewed no more
+	abandoned  bool // a member was lost; the gang is not renewed any more
 }
 
-// RenewalPlanner decides which leases one entry host renews. A gang is renewed as
-// one: only while every member confirmed the last message. Members that did
-// not, and all members of a gang new to this host, are first asked by probes
-// that extend nothing. So a gang that lost a member ends by itself. It is pure
-// state, owned by the renewer's loop.
+// RenewalPlanner decides which leases one entry host renews. A gang's leases are
+// renewed together, and only while every member confirmed the last renewal or
+// probe. Members that did not, and all members of a gang that was newly assigned
+// to this host, first get probes, which extend no lease. The remaining leases of
+// a gang that lost a member therefore expire. RenewalPlanner does no I/O and
+// reads no clock; it is not safe for concurrent use.
 type RenewalPlanner struct {
 	gangs      map[workerapi.Gang]*gangLeases
 	releasedAt map[workerapi.Gang]time.Time
 }
 
-// NewRenewalPlanner returns an empty set.
+// NewRenewalPlanner returns a RenewalPlanner without gangs.
 func NewRenewalPlanner() *RenewalPlanner {
 	return &RenewalPlanner{gangs: make(map[workerapi.Gang]*gangLeases), releasedAt: make(map[workerapi.Gang]time.Time)}
 }
 
-// StopRenewing promises that the gang is never renewed here again.
+// StopRenewing removes the gang and keeps it from being assigned to this host
+// again for releaseRetention.
 func (r *RenewalPlanner) StopRenewing(now time.Time, g workerapi.Gang) {
 	r.releasedAt[g] = now
 	delete(r.gangs, g)
 }
 
-// SetAssigned replaces the gangs that this host keeps.
+// SetAssigned replaces the gangs whose leases this host renews.
 func (r *RenewalPlanner) SetAssigned(now time.Time, roster []AssignedGang) {
 	next := make(map[workerapi.Gang]*gangLeases, len(roster))
 	for _, g := range roster {
@@ -96,8 +101,9 @@
 	return k
 }
 
-// PlanRound returns one round of messages, ordered by worker, and the gangs that
-// are given up because a worker stayed silent for a whole lease.
+// PlanRound returns the requests of one round, probes before renewals and each
+// ordered by worker, and the gangs that are abandoned because a worker confirmed
+// nothing for a whole lease.
 func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, lost []Observation) {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
@@ -115,8 +121,9 @@
 	return set.batches(), lost
 }
 
-// PlanSecondPass returns the rest of a round, once its answers are in: gangs that turned
-// out whole after a probe are renewed, silent members are probed once more.
+// PlanSecondPass returns the round's second batch of requests, after the answers
+// to the first: it renews gangs whose probes were all confirmed, and probes
+// members that did not answer once more.
 func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
@@ -128,7 +135,7 @@
 	return set.batches()
 }
 
-// batchSet gathers a round's messages by worker.
+// batchSet collects the gangs to probe and to renew by worker.
 type batchSet struct {
 	probes   map[string][]workerapi.Gang
 	renewals map[string][]workerapi.Gang
@@ -138,7 +145,7 @@
 	return batchSet{probes: make(map[string][]workerapi.Gang), renewals: make(map[string][]workerapi.Gang)}
 }
 
-// add puts a gang's next messages into the set.
+// add adds a gang's next probes or renewals.
 func (b batchSet) add(g workerapi.Gang, k *gangLeases) {
 	k.probing = k.hasUnconfirmed()
 	for w, s := range k.workers {
@@ -164,7 +171,8 @@
 	return out
 }
 
-// hasUnconfirmed tells whether some member did not confirm the last message.
+// hasUnconfirmed reports whether some member did not confirm the last renewal or
+// probe.
 func (k *gangLeases) hasUnconfirmed() bool {
 	for _, s := range k.workers {
 		if !s.finished && !s.confirmed {
@@ -188,7 +196,8 @@
 	return out
 }
 
-// expiredWorker returns a worker that confirmed nothing for a whole lease.
+// expiredWorker returns the first worker by name that confirmed nothing for a
+// whole lease, or "".
 func (k *gangLeases) expiredWorker(now time.Time) string {
 	found := ""
 	for w, s := range k.workers {
@@ -199,7 +208,8 @@
 	return found
 }
 
-// HandleReply takes a worker's answer to a batch and returns what it taught.
+// HandleReply applies a worker's reply to a batch and returns what it shows about
+// gangs that were not renewed.
 func (r *RenewalPlanner) HandleReply(now time.Time, b RenewalBatch, reply workerapi.RenewReply) []Observation {
 	missing := make(map[workerapi.Gang]bool, len(reply.Missing))
 	for _, g := range reply.Missing {
@@ -221,8 +231,8 @@
 	return out
 }
 
-// onMissing handles a gang that does not run on a worker: it finished there, it
-// ended otherwise, or its start is still under way.
+// onMissing handles a gang that a worker did not renew: its tasks finished there,
+// some ended otherwise, or its start is still in progress.
 func (k *gangLeases) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
 	var tasks []workerapi.Task
 	finished := true
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -13,15 +13,16 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// renewer keeps the leases of this host's share of gangs. It needs neither
-// the term nor the platform: it goes on with the roster it last knew.
+// renewer renews the leases of the gangs that are assigned to this host. It needs
+// neither the term nor the platform: without them it continues with the last
+// assignment that it could read.
 type renewer struct {
 	o       Options
 	observe func(Observation)
 
-	mu      sync.Mutex // guards core
+	mu      sync.Mutex // guards planner
 	planner *RenewalPlanner
-	roundMu sync.RWMutex // held for reading while messages of a round are under way
+	roundMu sync.RWMutex // held for reading while requests of a round are in flight
 
 	renewalsSent       *metrics.Counter
 	renewalsUnanswered *metrics.Counter
@@ -50,8 +51,8 @@
 	}
 }
 
-// renewRound does one round: one message to each worker with gangs of the
-// share, and a second one where an answer calls for it.
+// renewRound runs one round: a first pass of renewals and probes to the workers
+// of the assigned gangs, and a second pass that depends on their answers.
 func (r *renewer) renewRound(ctx context.Context) {
 	roster := r.assignedGangs(ctx)
 	r.roundMu.RLock()
@@ -68,7 +69,7 @@
 	r.sendBatches(ctx, batches)
 }
 
-// sendBatches delivers a round's messages side by side and takes in the answers.
+// sendBatches sends requests concurrently and reports what their replies show.
 func (r *renewer) sendBatches(ctx context.Context, batches []RenewalBatch) {
 	observations := make([][]Observation, len(batches))
 	var g errgroup.Group
@@ -111,8 +112,8 @@
 	return "", false
 }
 
-// reportObservations tells this host's scheduler and the other entry hosts, as any of them
-// may be, or become, the one that schedules.
+// reportObservations passes observations to this host's scheduler and to the
+// other entry hosts, since any of them may hold the term now or later.
 func (r *renewer) reportObservations(ctx context.Context, observations []Observation) {
 	for _, o := range observations {
 		r.observe(o)
--- a/gang/retry.go
+++ b/gang/retry.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	minRetryDelay = time.Second // longer than a reservation that was left behind
+	minRetryDelay = time.Second // enough for reservations left by the failed start to expire
 	maxRetryDelay = 30 * time.Second
 )
 
-// startRetry delays a job whose start failed before its gang was whole, so that a
-// worker which refuses or is silent does not cost a write each cycle.
+// startRetry is the backoff of a job whose last start failed before all of the
+// gang's tasks ran. Without it, a worker that refuses or does not answer would
+// cost a ledger write each cycle.
 type startRetry struct {
 	delay time.Duration
 	at    time.Time
@@ -24,13 +25,14 @@
 	s.retries[key] = startRetry{delay: delay, at: now.Add(delay)}
 }
 
-// isStartable tells whether a queued job may be decided upon now.
+// isStartable reports whether the job may be started now: it is queued, not
+// cancelled, without a run, and past its backoff.
 func (s *Scheduler) isStartable(now time.Time, key string, rec job.Record) bool {
 	return rec.State == job.Queued && rec.CancelBy == "" && s.runs[key] == nil && !now.Before(s.retries[key].at)
 }
 
-// retryWaits explains the jobs that wait for their next try, forgets those that
-// are gone, and wakes the loop for the first of them.
+// retryWaits returns the wait reasons of the jobs in backoff, drops the backoff of
+// jobs that ended or moved, and schedules a cycle for the first retry.
 func (s *Scheduler) retryWaits(now time.Time, records map[string]job.Record) []placement.Hold {
 	var out []placement.Hold
 	for _, key := range sortedKeys(s.retries) {
--- a/gang/run.go
+++ b/gang/run.go
@@ -7,68 +7,76 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Times of a gang's life. The bound on a start after a taking-out is
-// PermitAge + Hold.
+// Durations in the life cycle of a gang. After its failure domain was taken out of
+// service, a task can start for at most MaxConfigAge + ReservationTTL: an older
+// configuration permits no start, and a start request that arrives later finds
+// its reservation expired.
 const (
-	// ReservationTTL is how long a reservation lives from its arrival at the worker.
+	// ReservationTTL is how long a reservation lasts from its arrival at the worker.
 	ReservationTTL = time.Second
 	// LeaseDuration is how long tasks run without a renewal.
 	LeaseDuration = 20 * time.Second
-	// RenewInterval is the time between two renewals of a gang.
+	// RenewInterval is the interval between renewals of a gang.
 	RenewInterval = 5 * time.Second
-	// CheckpointGrace is the longest a checkpoint may take before the stop. It is under
-	// Lease less RenewEvery, so no renewal is needed meanwhile.
+	// CheckpointGrace is the longest time a checkpoint may take before the stop. It
+	// is shorter than LeaseDuration - RenewInterval, so that no renewal is needed
+	// in the meantime.
 	CheckpointGrace = 10 * time.Second
-	// leaseExpiryMargin covers timer skew when a lease is waited out.
+	// leaseExpiryMargin allows for timer skew when waiting for leases to expire.
 	leaseExpiryMargin = 2 * time.Second
-	// adoptionTimeout is how long a new scheduler waits for a gang's workers to answer.
+	// adoptionTimeout is how long a new scheduler waits for all workers of an
+	// adopted gang to list their tasks.
 	adoptionTimeout = 10 * time.Second
-	// recordRetryInterval is how long an answer of the ledger is awaited before asking again.
+	// recordRetryInterval is the time after which an unconfirmed write to the ledger
+	// is repeated.
 	recordRetryInterval = 5 * time.Second
-	// startCheckDelay is how long after its start a gang is asked for once, as many
-	// tasks that fail at all fail at once.
+	// startCheckDelay is the time from a gang's start to a single listing of its
+	// tasks, since many tasks that fail do so immediately.
 	startCheckDelay = time.Second
-	// workerRetryInterval is the time between two tries of an unanswered stop or fence.
+	// workerRetryInterval is the time after which an unanswered task listing, stop or
+	// fence is repeated.
 	workerRetryInterval = time.Second
 )
 
-// Phase is a run's stage.
+// Phase is the phase of a run.
 type Phase int
 
-// The phases of a run.
+// Phases of a run.
 const (
-	RecordingPlacement Phase = iota // the ledger is asked to take the placement
+	RecordingPlacement Phase = iota // the placement is being written to the ledger
 	Reserving
 	Starting
 	Running
-	Adopting         // found in the ledger by a new scheduler; workers are asked
-	RecordingStop    // a stop by choice is being recorded
-	Checkpointing    // tasks save their work
-	Stopping         // workers are told to stop; the rest is waited out
-	RecordingOutcome // the outcome is being recorded
+	Adopting         // found in the ledger by a new scheduler; workers list their tasks
+	RecordingStop    // a requested stop is being written to the ledger
+	Checkpointing    // tasks are being checkpointed
+	Stopping         // workers stop the gang, or its leases are waited out
+	RecordingOutcome // the outcome is being written to the ledger
 	Ended
 )
 
+// memberStatus is the state of a gang's tasks on one worker.
 type memberStatus int
 
 const (
 	memberIdle memberStatus = iota
 	memberReserved
-	memberMayRun // a start was sent, or the ledger says that one may have been
+	memberMayRun // a start was sent, or may have been, according to the ledger
 	memberRunning
 	memberFinished // all its tasks finished; nothing runs there
 	memberStopped  // nothing runs there, and nothing can start
 )
 
+// member is the part of a gang on one worker.
 type member struct {
 	worker       string
 	tasks        []int
 	status       memberStatus
 	checkpointed bool
-	listed       bool // answered a listing since adoption
+	listed       bool // listed its tasks at least once
 }
 
-// Run is one generation of a gang, from placement to end. It is pure state: it
+// Run is the state machine of one generation of a gang, from placement to end. It
 // does no I/O and reads no clock. The Scheduler's loop owns it.
 type Run struct {
 	Gang    workerapi.Gang
@@ -77,13 +85,13 @@
 
 	members         []*member   // in order of their first task
 	phaseStart      time.Time   // start of the phase
-	nextRetry       time.Time   // next retry
-	stopRequest     StopRequest // why and into what it ends
+	nextRetry       time.Time   // of unanswered actions
+	stopRequest     StopRequest // why the run ends and the state it leaves the job in
 	failed          bool
 	suspectWorkers  []string
-	requestedState  job.State // state last handed to the ledger
-	startChecked    bool      // its workers were asked once after the start
-	runningRecorded bool      // the ledger has the run as running
+	requestedState  job.State // state last written to the ledger, confirmed or not
+	startChecked    bool      // the listing after startCheckDelay was sent
+	runningRecorded bool      // the ledger confirmed the Running state
 	fencedAt        time.Time // zero: not fenced
 }
 
@@ -102,13 +110,14 @@
 	return r
 }
 
-// NewRun begins a new run: its placement goes to the ledger first.
+// NewRun begins a new run. Its first action writes the placement to the ledger.
 func NewRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
 	r := newRunInPhase(g, workers, RecordingPlacement, now)
 	return r, []Action{r.recordState(job.Placed, "")}
 }
 
-// AdoptRun takes over a run that the ledger knows and this scheduler did not start.
+// AdoptRun takes over a run that the ledger lists as live and that this scheduler
+// did not start.
 func AdoptRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
 	r := newRunInPhase(g, workers, Adopting, now)
 	for _, m := range r.members {
@@ -117,7 +126,7 @@
 	return r, r.tick(now)
 }
 
-// ResumeStop takes over a stop that an earlier scheduler had recorded.
+// ResumeStop continues a stop that an earlier scheduler wrote to the ledger.
 func ResumeStop(g workerapi.Gang, workers []string, order StopRequest, now time.Time) (*Run, []Action) {
 	r := newRunInPhase(g, workers, Stopping, now)
 	for _, m := range r.members {
@@ -157,7 +166,7 @@
 	return true
 }
 
-// Step takes one event and returns what to do.
+// Step handles one event and returns the actions to execute.
 func (r *Run) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Recorded:
@@ -188,7 +197,7 @@
 		return nil
 	}
 	if e.Superseded {
-		r.enterPhase(Ended, now) // what the ledger has instead is adopted
+		r.enterPhase(Ended, now) // the scheduler adopts the ledger's state instead
 		return nil
 	}
 	switch r.Phase {
@@ -208,8 +217,8 @@
 	return nil
 }
 
-// isObsolete tells whether the ledger has the job in a state that a running gang
-// can not be in, so that this run is obsolete.
+// isObsolete reports whether the run is in phase Running while the ledger's record
+// is of another generation or in a state that a running gang cannot be in.
 func (r *Run) isObsolete(rec job.Record) bool {
 	if r.Phase != Running {
 		return false
@@ -217,7 +226,7 @@
 	return rec.Generation != r.Gang.Generation || (rec.State != job.Placed && rec.State != job.Running)
 }
 
-// tick retries what is unanswered and notices what took too long.
+// tick retries unanswered actions and ends phases that have timed out.
 func (r *Run) tick(now time.Time) []Action {
 	switch r.Phase {
 	case Reserving, Starting:
@@ -242,7 +251,8 @@
 	return nil
 }
 
-// retryRecord repeats a record that the ledger did not confirm for a while.
+// retryRecord repeats an unconfirmed write to the ledger every
+// recordRetryInterval.
 func (r *Run) retryRecord(now time.Time, state job.State, reason string) []Action {
 	if now.Before(r.nextRetry) {
 		return nil
--- a/gang/run_start.go
+++ b/gang/run_start.go
@@ -8,8 +8,9 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// onPlaced reserves once the placement is in the ledger. When it may not be,
-// the run ends; a placement that stands after all is adopted.
+// onPlaced sends the reservations once the ledger confirmed the placement.
+// Otherwise the run ends; if the placement was written after all, the scheduler
+// adopts it.
 func (r *Run) onPlaced(now time.Time, ok bool) []Action {
 	if !ok {
 		r.enterPhase(Ended, now)
@@ -75,14 +76,15 @@
 	return r.enterRunning(now)
 }
 
-// enterRunning notes that every member runs.
+// enterRunning enters phase Running once every member runs, and writes that to the
+// ledger.
 func (r *Run) enterRunning(now time.Time) []Action {
 	r.enterPhase(Running, now)
 	r.nextRetry = now.Add(recordRetryInterval)
 	return []Action{r.recordState(job.Running, "")}
 }
 
-// onListed compares what a worker holds with what it should.
+// onListed compares a worker's tasks with those that it was given.
 func (r *Run) onListed(now time.Time, e TasksListed) []Action {
 	m := r.member(e.Worker)
 	if m == nil || !e.Answered || (r.Phase != Running && r.Phase != Adopting) {
@@ -127,7 +129,8 @@
 	return r.failRun(now, fmt.Sprintf("task %d failed on worker %s: %s", t.Index, m.worker, t.Reason))
 }
 
-// checkMembers ends a run whose tasks all finished, and takes over a whole gang.
+// checkMembers ends a run whose tasks all finished, and completes the adoption of
+// a gang once every member has listed its tasks.
 func (r *Run) checkMembers(now time.Time) []Action {
 	if r.allMembers(func(m *member) bool { return m.status == memberFinished }) {
 		r.stopRequest = StopRequest{NextState: job.Finished}
--- a/gang/run_stop.go
+++ b/gang/run_stop.go
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// upgradeStopRequest lets a later order end a job that would have run again.
+// upgradeStopRequest applies a later request that ends the job, when the earlier one
+// would have queued it again.
 func (r *Run) upgradeStopRequest(e StopRequest) {
 	if r.stopRequest.NextState == job.Queued && e.NextState.Terminal() {
 		r.stopRequest.NextState, r.stopRequest.Reason = e.NextState, e.Reason
@@ -53,8 +54,9 @@
 	return nil
 }
 
-// failRun ends the run because it can not be whole. It runs again unless an
-// earlier order says otherwise; the scheduler counts failures.
+// failRun stops the run because not all of its tasks can run. The job is queued
+// again unless an earlier stop request says otherwise; the scheduler counts
+// failures.
 func (r *Run) failRun(now time.Time, reason string) []Action {
 	if r.stopRequest.NextState == "" {
 		r.stopRequest = StopRequest{NextState: job.Queued, Reason: reason}
@@ -62,8 +64,8 @@
 	return r.stopMembers(now)
 }
 
-// stopMembers tells every worker to end the gang. Where no start was sent, nothing
-// runs and the message only frees the reservation early.
+// stopMembers sends a stop to every worker of the gang. Where no start was sent,
+// nothing runs and the stop only frees the reservation early.
 func (r *Run) stopMembers(now time.Time) []Action {
 	r.enterPhase(Stopping, now)
 	for _, m := range r.members {
@@ -109,8 +111,9 @@
 	return []Action{r.recordState(r.stopRequest.NextState, r.stopRequest.Reason)}
 }
 
-// leasesExpired tells whether leases that were not confirmed as stopped have surely
-// ended: nobody renews them, and a start under way has lost its reservation.
+// leasesExpired reports whether the leases of members that did not confirm the
+// stop must have expired: since the fence no host renews them, and a start
+// request still in flight finds its reservation expired.
 func (r *Run) leasesExpired(now time.Time) bool {
 	return !r.fencedAt.IsZero() && !now.Before(r.fencedAt.Add(ReservationTTL+LeaseDuration+leaseExpiryMargin))
 }
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -1,6 +1,10 @@
-// Package gang runs gangs as one unit. The scheduler of a failure domain
-// reserves, starts, checkpoints and stops them under its term; every entry host
-// renews the leases of a share of them, which needs no term.
+// Package gang runs gangs: the tasks of a job, which all run or none does. The
+// entry host that holds a failure domain's scheduler term reserves, starts,
+// checkpoints and stops the gangs there. Every entry host renews the leases of
+// the gangs assigned to it, which needs no term. The state of runs is held in
+// memory and rebuilt from the ledger and the workers when the term changes
+// hands. Package entryhost creates and runs the Scheduler; intake asks it for
+// wait reasons and startable jobs.
 package gang
 
 import (
@@ -24,24 +28,24 @@
 )
 
 const (
-	maxCycleInterval   = time.Second            // between two decisions without any event
-	eventBatchDelay    = 10 * time.Millisecond  // events that come together are decided together
-	unansweredCooldown = 15 * time.Second       // a worker that did not answer gets no new gang for so long
-	eventBufferSize    = 1024                   // answers waiting for the loop
+	maxCycleInterval   = time.Second            // between two cycles when no event arrives
+	eventBatchDelay    = 10 * time.Millisecond  // events that arrive within it are handled by the same cycle
+	unansweredCooldown = 15 * time.Second       // no new gang on a worker for this long after an unanswered call
+	eventBufferSize    = 1024                   // events waiting for the loop
 	peerCallTimeout    = 900 * time.Millisecond // of one call to an entry host
 )
 
 // Options configures a Scheduler.
 type Options struct {
 	FailureDomain string
-	Ledger        *ledger.Jobs // of the failure domain; somebody runs it
+	Ledger        *ledger.Jobs // of the failure domain; the caller runs it
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
 	Workers       WorkerCaller // nil: HTTP
-	Peers         peer.Caller  // nil: this entry host is alone
+	Peers         peer.Caller  // nil: there are no other entry hosts
 	Decide        func(placement.View) placement.Plan
-	Notes         *ledger.Notes // keeps learned run times over schedulers; nil: they are not kept
+	Notes         *ledger.Notes // stores run time estimates across schedulers; nil: they are not stored
 	Now           func() time.Time
 	Logger        *log.Logger
 	Metrics       *metrics.Set
@@ -60,24 +64,25 @@
 	return o
 }
 
-// trackedRun is a run and what the scheduler knows of its job.
+// trackedRun is a run with the scheduler's state about its job.
 type trackedRun struct {
 	run            *Run
 	record         job.Record // as placed or adopted
-	outcomeCounted bool       // its outcome was learned from
-	fatalReason    string     // why the job itself fails; empty: it may run again
+	outcomeCounted bool       // its outcome is in the estimates, quarantine and counters
+	fatalReason    string     // why the job itself fails for good; empty: it may run again
 }
 
-// runEvent is an event for a run, on its way to the loop.
+// runEvent is an event posted to the loop for a run.
 type runEvent struct {
 	gang  workerapi.Gang
 	term  uint64
 	event Event
 }
 
-// Scheduler places, starts and stops the gangs of one failure domain while
-// this host holds its term, and renews this host's share of leases always.
-// Its exported methods are safe for concurrent use; the loop in Run owns the rest.
+// Scheduler places, starts and stops the gangs of one failure domain while this
+// host holds its term. It renews the leases of the gangs assigned to this host
+// with or without the term. Its exported methods except Cycle are safe for
+// concurrent use.
 type Scheduler struct {
 	o                Options
 	permit           Permit
@@ -85,29 +90,29 @@
 	events           chan runEvent
 	startableQueries chan startableQuery
 	cycleRequests    chan struct{}
-	ioCalls          sync.WaitGroup // I/O under way
+	ioCalls          sync.WaitGroup // goroutines doing I/O
 	taskListings     singleflight.Group
 
-	// Owned by the loop.
+	// Accessed only by the loop.
 	term           uint64
 	runs           map[string]*trackedRun
 	wakeAt         time.Time
-	retries        map[string]startRetry // jobs whose last start failed
+	retries        map[string]startRetry // backoff by key of the jobs whose last start failed
 	estimates      *placement.Estimates
 	quarantine     *placement.Quarantine
 	estimatesState estimatesState
 
 	mu           sync.Mutex
-	endWrites    map[string]bool      // queued jobs whose end is being recorded
-	unanswered   map[string]time.Time // worker to the last unanswered message
+	endWrites    map[string]bool      // keys of queued jobs whose end is being written
+	unanswered   map[string]time.Time // worker to the time of its last unanswered call
 	observations map[workerapi.Gang]map[string]Observation
-	waitReasons  map[string]string // job to the reason it waits
+	waitReasons  map[string]string // job key to the reason it waits
 	deficits     []placement.Deficit
 
 	metrics schedulerMetrics
 }
 
-// New returns a scheduler; it acts once Run is called.
+// New returns a Scheduler. It does nothing until Run is called.
 func New(o Options) *Scheduler {
 	o = o.withDefaults()
 	s := &Scheduler{
@@ -133,7 +138,7 @@
 	return s
 }
 
-// Run schedules and renews until ctx ends, then waits for I/O under way.
+// Run schedules and renews until ctx ends, then waits for I/O in progress.
 func (s *Scheduler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.renewer.run(ctx) })
@@ -170,7 +175,7 @@
 	}
 }
 
-// nextCycleDelay returns how long to sleep when nothing happens.
+// nextCycleDelay returns the time until the next cycle when no event arrives.
 func (s *Scheduler) nextCycleDelay() time.Duration {
 	if s.wakeAt.IsZero() {
 		return maxCycleInterval
@@ -178,7 +183,7 @@
 	return min(maxCycleInterval, max(eventBatchDelay, s.wakeAt.Sub(s.o.Now())))
 }
 
-// deliverEvents delivers the events that come within a short time.
+// deliverEvents delivers the events that arrive within eventBatchDelay.
 func (s *Scheduler) deliverEvents(ctx context.Context) {
 	timer := time.NewTimer(eventBatchDelay)
 	defer timer.Stop()
@@ -202,7 +207,7 @@
 	s.stepRun(ctx, t, d.event)
 }
 
-// stepRun feeds an event to a run and starts what it asks for.
+// stepRun passes an event to a run and executes the actions it returns.
 func (s *Scheduler) stepRun(ctx context.Context, t *trackedRun, e Event) {
 	before := t.run.Phase
 	actions := t.run.Step(s.o.Now(), e)
@@ -223,8 +228,9 @@
 	}
 }
 
-// Observe takes what a renewal taught, here or on another entry host. It is
-// kept until the ledger moves on, so that whichever host schedules next has it.
+// Observe stores an observation of a renewal by this or another entry host. It is
+// kept until the ledger no longer lists the gang as live, so that the host which
+// schedules next has it too.
 func (s *Scheduler) Observe(o Observation) {
 	s.mu.Lock()
 	if s.observations[o.Gang] == nil {
@@ -235,8 +241,9 @@
 	s.requestCycle()
 }
 
-// WaitReason returns why a queued job waits, as of the last decision here. ok is
-// false when this host does not schedule the failure domain or does not know.
+// WaitReason returns why a queued job waits, as of this host's last decision. ok
+// is false when this host does not schedule the failure domain or has no reason
+// for the job.
 func (s *Scheduler) WaitReason(id job.ID) (reason string, ok bool) {
 	if _, _, held := s.o.Election.Term(); !held {
 		return "", false
@@ -247,8 +254,8 @@
 	return reason, ok
 }
 
-// Deficits returns the guarantees that the last decision here could not back;
-// none when this host does not schedule the failure domain.
+// Deficits returns the guarantees that could not be backed as of this host's last
+// decision; none when this host does not schedule the failure domain.
 func (s *Scheduler) Deficits() []placement.Deficit {
 	if _, _, held := s.o.Election.Term(); !held {
 		return nil
--- a/gang/scheduler_test.go
+++ b/gang/scheduler_test.go
@@ -49,8 +49,8 @@
 	f.snap.Revision++
 }
 
-// stale makes the configuration's last confirmation so old.
-func (f *fakeConfig) stale(age time.Duration) {
+// setConfirmationAge makes the configuration's last confirmation so old.
+func (f *fakeConfig) setConfirmationAge(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.age = age
@@ -133,8 +133,8 @@
 	stop    func()
 }
 
-// entryHost starts an entry host that holds the given term; 0 holds none.
-func (c *cluster) entryHost(term uint64, change func(*gang.Options)) *entry {
+// startEntryHost starts an entry host that holds the given term; 0 holds none.
+func (c *cluster) startEntryHost(term uint64, change func(*gang.Options)) *entry {
 	e := &entry{term: &fakeTerm{term: term}}
 	e.ledgers = ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
 	e.intake = intake.New(intake.Options{FailureDomain: "fd1", Ledgers: e.ledgers, Config: c.config, Membership: c.view, Election: e.term})
@@ -164,8 +164,8 @@
 	must.NoError(c.t, err)
 }
 
-// reaches waits until the job is in the state.
-func (c *cluster) reaches(e *entry, s job.Spec, state job.State) job.Record {
+// waitForState waits until the job is in the state.
+func (c *cluster) waitForState(e *entry, s job.Spec, state job.State) job.Record {
 	c.t.Helper()
 	var rec job.Record
 	must.Wait(c.t, wait.InitialSuccess(wait.Timeout(45*time.Second), wait.Gap(20*time.Millisecond), wait.BoolFunc(func() bool {
@@ -175,8 +175,8 @@
 	return rec
 }
 
-// running counts the job's running tasks by generation over all workers.
-func (c *cluster) running(s job.Spec) map[uint64]int {
+// runningTasks counts the job's runningTasks tasks by generation over all workers.
+func (c *cluster) runningTasks(s job.Spec) map[uint64]int {
 	out := make(map[uint64]int)
 	for _, w := range c.workers {
 		for _, t := range w.Tasks().Tasks {
@@ -193,11 +193,11 @@
 	c := newCluster(t, 2, func(int) worker.Options {
 		return worker.Options{RunTime: func(workerapi.Gang, int) time.Duration { return 500 * time.Millisecond }}
 	})
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	s := spec("a", 2)
 	c.submit(e, s)
-	rec := c.reaches(e, s, job.Running)
+	rec := c.waitForState(e, s, job.Running)
 	must.SliceContainsAll(t, []string{"w0", "w1"}, rec.Workers)
-	c.reaches(e, s, job.Finished)
+	c.waitForState(e, s, job.Finished)
 	must.EqOp(t, 5, c.store.Calls()["put"], must.Sprint("writes: index, queued, placed, running, finished"))
 }
--- a/gang/startable.go
+++ b/gang/startable.go
@@ -7,15 +7,16 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// startableQuery asks the loop which queued jobs of other failure domains it would take.
+// startableQuery asks the loop which queued jobs of other failure domains could
+// start here.
 type startableQuery struct {
 	records []job.Record
-	reply   chan []job.ID // holds one answer, so that the loop never waits
+	reply   chan []job.ID // buffered, so that the loop does not block
 }
 
 // StartableJobs returns which of the queued jobs of other failure domains this one
-// could start at once, beside its own. It returns none when this host does not
-// schedule, or when ctx ends first.
+// could start immediately in addition to its own. It returns none when this host
+// does not schedule, or when ctx ends first.
 func (s *Scheduler) StartableJobs(ctx context.Context, records []job.Record) []job.ID {
 	o := startableQuery{records: records, reply: make(chan []job.ID, 1)}
 	select {
@@ -31,7 +32,7 @@
 	}
 }
 
-// answerStartable decides on an offer. Only the loop calls it.
+// answerStartable answers a query. Only the loop calls it.
 func (s *Scheduler) answerStartable(o startableQuery) {
 	now := s.o.Now()
 	own, _, complete := s.o.Ledger.Snapshot()
--- a/gang/startable_test.go
+++ b/gang/startable_test.go
@@ -12,10 +12,10 @@
 
 // A scheduler takes offered jobs only while it holds the term, as far as there
 // is room beside its own.
-func TestTakesWhatFitsBesideItsOwnJobs(t *testing.T) {
+func TestStartableJobsFitBesideOwnJobs(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	one, two := job.Record{Spec: spec("one", 1)}, job.Record{Spec: spec("two", 1)}
 	takes := func() []job.ID {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -24,7 +24,7 @@
 	}
 	own := spec("own", 1)
 	c.submit(e, own)
-	c.reaches(e, own, job.Running)
+	c.waitForState(e, own, job.Running)
 	must.Eq(t, []job.ID{one.Spec.ID}, takes())
 	e.term.set(0)
 	must.SliceEmpty(t, takes())
--- a/gang/summary.go
+++ b/gang/summary.go
@@ -7,17 +7,17 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// Summary sums up a failure domain's jobs, for operators.
+// Summary summarises a failure domain's jobs for operators.
 type Summary struct {
 	Queued   int
 	Running  int                 // placed, running or stopping
 	Deficits []placement.Deficit // guarantees that the present hardware cannot back
 }
 
-// SummaryArgs asks for a summary.
+// SummaryArgs are the arguments of the peer method Summary.
 type SummaryArgs struct{}
 
-// Summary sums up the failure domain as this host last saw it.
+// Summary summarises the failure domain by this host's last read of the ledger.
 func (s *Scheduler) Summary() Summary {
 	sum := Summary{Deficits: s.Deficits()}
 	records, _, _ := s.o.Ledger.Snapshot()
@@ -32,7 +32,7 @@
 	return sum
 }
 
-// SummaryOf asks the scheduler whose peer listener is at address.
+// SummaryOf asks the entry host whose peer listener is at address for its Summary.
 func (s *Scheduler) SummaryOf(ctx context.Context, address string) (Summary, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -41,7 +41,7 @@
 	return sum, err
 }
 
-// Summary answers another entry host's question.
+// Summary returns this host's Summary to another entry host.
 func (p *peerMethods) Summary(_ SummaryArgs, reply *Summary) error {
 	*reply = p.s.Summary()
 	return nil
--- a/gang/trace_test.go
+++ b/gang/trace_test.go
@@ -13,22 +13,22 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// TestJobsHopsShareTheTraceOfItsSubmission is not parallel: the tracer provider
+// TestWorkerCallsShareTheTraceOfTheSubmission is not parallel: the tracer provider
 // is the process's.
-func TestJobsHopsShareTheTraceOfItsSubmission(t *testing.T) {
+func TestWorkerCallsShareTheTraceOfTheSubmission(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	before := otel.GetTracerProvider()
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(spans)))
 	defer otel.SetTracerProvider(before)
 	c := newCluster(t, 1, nil)
-	e := c.entryHost(1, nil)
+	e := c.startEntryHost(1, nil)
 	s := spec("a", 1)
 	ctx, root := otel.Tracer("test").Start(context.Background(), "caller")
 	_, err := e.intake.Submit(ctx, org, s)
 	must.NoError(t, err)
 	root.End()
-	c.reaches(e, s, job.Running)
-	holds(t, "every hop has a span in the caller's trace", func() bool {
+	c.waitForState(e, s, job.Running)
+	waitUntil(t, "every hop has a span in the caller's trace", func() bool {
 		seen := make(map[string]bool)
 		for _, span := range spans.Ended() {
 			if span.SpanContext().TraceID() == root.SpanContext().TraceID() {
--- a/gang/view.go
+++ b/gang/view.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// placementView gathers what a decision depends on.
+// placementView builds the input of a placement decision.
 func (s *Scheduler) placementView(now time.Time, records map[string]job.Record, snap *config.Snapshot) placement.View {
 	v := placement.View{
 		Now:        now,
@@ -36,7 +36,7 @@
 	return gone
 }
 
-// placementGang describes a run that occupies its accelerators.
+// placementGang describes the run, which occupies its accelerators.
 func (t *trackedRun) placementGang() placement.Gang {
 	rec := t.record
 	return placement.Gang{
@@ -70,7 +70,8 @@
 	}
 }
 
-// placementWorkers lists the failure domain's placementWorkers and why some take nothing new.
+// placementWorkers lists the failure domain's workers, and for some why they take
+// no new gang.
 func (s *Scheduler) placementWorkers(now time.Time) []placement.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/workerapi/workerapi.go
+++ b/workerapi/workerapi.go
@@ -1,6 +1,8 @@
-// Package workerapi holds the messages between entry hosts and the platform's
-// workers: HTTP POSTs of JSON. A worker refuses any message under a term older
-// than the newest it has seen, and stops every task whose lease lapses.
+// Package workerapi defines the messages that entry hosts send to the
+// platform's workers: JSON over HTTP POST, and one GET that lists tasks. It
+// holds no state. Package gang is the client. A worker rejects a message whose
+// term is older than the newest term it has seen, and stops every task whose
+// lease expires.
 package workerapi
 
 import "time"
@@ -16,16 +18,16 @@
 	PathTasks      = "/v1/tasks"      // GET -> TasksReply
 )
 
-// Gang names one run of a job: a later generation is a later run.
+// Gang identifies one run of a job. Each new run has a higher generation.
 type Gang struct {
 	Job        string `json:"job"` // job.ID as a string
 	Generation uint64 `json:"generation"`
 }
 
-// Code is a worker's verdict on a message.
+// Code is the result code of a worker's reply.
 type Code string
 
-// The verdicts.
+// Result codes.
 const (
 	OK            Code = "ok"
 	StaleTerm     Code = "stale-term"
@@ -35,16 +37,16 @@
 	Refused       Code = "refused"
 )
 
-// ReserveRequest holds accelerators for tasks of a gang for a short time.
+// ReserveRequest reserves accelerators for tasks of a gang until TTL has passed.
 type ReserveRequest struct {
 	Term                uint64        `json:"term"`
 	Gang                Gang          `json:"gang"`
 	Tasks               []int         `json:"tasks"` // task indices
 	AcceleratorsPerTask int           `json:"acceleratorsPerTask"`
-	TTL                 time.Duration `json:"holdNanos"` // from arrival at the worker
+	TTL                 time.Duration `json:"holdNanos"` // counted from the request's arrival at the worker
 }
 
-// ReserveReply answers a reservation.
+// ReserveReply is the worker's reply to a ReserveRequest.
 type ReserveReply struct {
 	Code   Code   `json:"code"`
 	Reason string `json:"reason,omitempty"`
@@ -58,7 +60,7 @@
 	Size            int           `json:"size"` // number of tasks in the whole gang
 	Service         string        `json:"service"`
 	Template        string        `json:"template"`
-	WorkerAddresses []string      `json:"gangmates"` // worker addresses, one a task, for the tasks to find each other
+	WorkerAddresses []string      `json:"gangmates"` // address of each task's worker, by which the tasks find each other
 	Lease           time.Duration `json:"leaseNanos"`
 }
 
@@ -66,36 +68,36 @@
 type GangRequest struct {
 	Term   uint64        `json:"term"`
 	Gang   Gang          `json:"gang"`
-	Grace  time.Duration `json:"graceNanos,omitempty"` // for a checkpoint before a stop
+	Grace  time.Duration `json:"graceNanos,omitempty"` // longest time for a checkpoint before a stop
 	Reason string        `json:"reason,omitempty"`
 }
 
-// Reply is a worker's plain answer.
+// Reply is a worker's reply that carries no data besides the result code.
 type Reply struct {
 	Code   Code   `json:"code"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// RenewRequest extends the leases of gangs' tasks on a worker. It needs no
-// term: it only keeps running what runs. Lease 0 asks which gangs run without
-// extending anything.
+// RenewRequest extends the leases of gangs' tasks on a worker. It carries no
+// term, since it can only keep running tasks running. Lease 0 is a probe: it
+// asks which gangs run and extends no lease.
 type RenewRequest struct {
 	Gangs []Gang        `json:"gangs"`
 	Lease time.Duration `json:"leaseNanos"`
 }
 
-// RenewReply lists the gangs that were not renewed, since none of their tasks
-// runs or some failed or were stopped, and the tasks of theirs that the worker
-// remembers.
+// RenewReply lists in Missing the gangs whose leases were not renewed, because
+// none of their tasks runs or some failed or were stopped. Ended lists those
+// tasks of these gangs that the worker still has a record of.
 type RenewReply struct {
 	Missing []Gang `json:"missing,omitempty"`
 	Ended   []Task `json:"ended,omitempty"`
 }
 
-// TaskState is a task's stage of life on its worker.
+// TaskState is the state of a task on its worker.
 type TaskState string
 
-// The states of a task.
+// Task states.
 const (
 	TaskReserved TaskState = "reserved"
 	TaskRunning  TaskState = "running"
@@ -104,7 +106,7 @@
 	TaskStopped  TaskState = "stopped"
 )
 
-// Task is one task as its worker reports it.
+// Task describes one task as reported by its worker.
 type Task struct {
 	Gang         Gang      `json:"gang"`
 	Index        int       `json:"index"`
@@ -115,12 +117,13 @@
 	Checkpointed time.Time `json:"checkpointed,omitzero"`
 }
 
-// TasksReply lists what a worker holds. Ended tasks are listed for a while, so
-// that a scheduler that was away learns how they ended.
+// TasksReply lists a worker's reservations and tasks. Ended tasks stay listed
+// for a while, so that a scheduler which was unavailable when they ended can
+// still read their outcome.
 type TasksReply struct {
 	Worker       string `json:"worker"`
 	Incarnation  string `json:"incarnation"` // changes when the worker restarts
-	Term         uint64 `json:"term"`        // newest term seen
+	Term         uint64 `json:"term"`        // newest term that the worker has seen
 	Accelerators int    `json:"accelerators"`
 	Tasks        []Task `json:"tasks"`
 }
