--- a/gang/actions.go
+++ b/gang/actions.go
@@ -14,7 +14,7 @@
 func (s *Scheduler) executeActions(ctx context.Context, t *trackedRun, actions []Action) {
 	for _, a := range actions {
 		if r, ok := a.(RecordState); ok {
-			s.recordOutcome(t, r)
+			s.countOutcome(t, r)
 			r.FatalReason = t.fatalReason
 			a = r
 		}
@@ -33,41 +33,41 @@
 	workers []string
 }
 
-func (e actionCall) postEvent(ctx context.Context, ev Event) {
+func (c actionCall) postEvent(ctx context.Context, ev Event) {
 	select {
-	case e.s.events <- runEvent{gang: e.gang, term: e.term, event: ev}:
+	case c.s.events <- runEvent{gang: c.gang, term: c.term, event: ev}:
 	case <-ctx.Done():
 	}
 }
 
-func (e actionCall) execute(ctx context.Context, a Action) {
-	ctx = telemetry.WithTraceParent(ctx, e.record.TraceParent)
+func (c actionCall) execute(ctx context.Context, a Action) {
+	ctx = telemetry.WithTraceParent(ctx, c.record.TraceParent)
 	switch a := a.(type) {
 	case RecordState:
-		e.postEvent(ctx, e.writeState(ctx, a))
+		c.postEvent(ctx, c.writeState(ctx, a))
 	case Reserve:
-		e.postEvent(ctx, e.reserve(ctx, a))
+		c.postEvent(ctx, c.reserve(ctx, a))
 	case Start:
-		e.postEvent(ctx, e.start(ctx, a))
+		c.postEvent(ctx, c.start(ctx, a))
 	case ListTasks:
-		e.postEvent(ctx, e.listTasks(ctx, a))
+		c.postEvent(ctx, c.listTasks(ctx, a))
 	case Checkpoint:
-		e.postEvent(ctx, e.checkpoint(ctx, a))
+		c.postEvent(ctx, c.checkpoint(ctx, a))
 	case Stop:
-		e.postEvent(ctx, e.stop(ctx, a))
+		c.postEvent(ctx, c.stop(ctx, a))
 	case Fence:
-		e.postEvent(ctx, Fenced{OK: e.s.renewer.fenceGang(ctx, e.gang)})
+		c.postEvent(ctx, Fenced{OK: c.s.renewer.fenceGang(ctx, c.gang)})
 	}
 }
 
 // callWorker calls a worker and tracks whether it answered.
-func (e actionCall) callWorker(ctx context.Context, worker, path string, args, reply any) error {
-	address, err := e.s.workerAddress(worker)
+func (c actionCall) callWorker(ctx context.Context, worker, path string, args, reply any) error {
+	address, err := c.s.workerAddress(worker)
 	if err == nil {
-		err = e.s.o.Workers.Call(ctx, address, path, args, reply)
+		err = c.s.o.Workers.Call(ctx, address, path, args, reply)
 	}
 	if ctx.Err() == nil {
-		e.s.trackAnswer(worker, err == nil)
+		c.s.trackAnswer(worker, err == nil)
 	}
 	return err
 }
@@ -90,53 +90,53 @@
 	return address, nil
 }
 
-func (e actionCall) reserve(ctx context.Context, a Reserve) Reserved {
-	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
+func (c actionCall) reserve(ctx context.Context, a Reserve) Reserved {
+	if err := c.s.permit.Check(c.s.o.Now(), c.term); err != nil {
 		return Reserved{Worker: a.Worker, Code: workerapi.Refused, Reason: err.Error()}
 	}
 	req := workerapi.ReserveRequest{
-		Term: e.term, Gang: e.gang, Tasks: a.Tasks, TTL: ReservationTTL,
-		AcceleratorsPerTask: e.record.Spec.Shape.AcceleratorsPerTask,
+		Term: c.term, Gang: c.gang, Tasks: a.Tasks, TTL: ReservationTTL,
+		AcceleratorsPerTask: c.record.Spec.Shape.AcceleratorsPerTask,
 	}
 	var reply workerapi.ReserveReply
-	if err := e.callWorker(ctx, a.Worker, workerapi.PathReserve, req, &reply); err != nil {
+	if err := c.callWorker(ctx, a.Worker, workerapi.PathReserve, req, &reply); err != nil {
 		return Reserved{Worker: a.Worker, Reason: err.Error()}
 	}
 	return Reserved{Worker: a.Worker, Code: reply.Code, Reason: reply.Reason}
 }
 
 // start checks the permit immediately before it sends the request.
-func (e actionCall) start(ctx context.Context, a Start) Started {
+func (c actionCall) start(ctx context.Context, a Start) Started {
 	req := workerapi.StartRequest{
-		Term: e.term, Gang: e.gang, Tasks: a.Tasks, Size: len(e.workers),
-		Service: e.record.Spec.ID.Service, Template: e.record.Spec.Template,
-		WorkerAddresses: e.workerAddresses(), Lease: LeaseDuration,
+		Term: c.term, Gang: c.gang, Tasks: a.Tasks, Size: len(c.workers),
+		Service: c.record.Spec.ID.Service, Template: c.record.Spec.Template,
+		WorkerAddresses: c.workerAddresses(), Lease: LeaseDuration,
 	}
-	if err := e.s.permit.Check(e.s.o.Now(), e.term); err != nil {
-		e.s.metrics.permitsRefused.Inc()
+	if err := c.s.permit.Check(c.s.o.Now(), c.term); err != nil {
+		c.s.metrics.permitsRefused.Inc()
 		return Started{Worker: a.Worker, Reason: err.Error()}
 	}
 	var reply workerapi.Reply
-	if err := e.callWorker(ctx, a.Worker, workerapi.PathStart, req, &reply); err != nil {
+	if err := c.callWorker(ctx, a.Worker, workerapi.PathStart, req, &reply); err != nil {
 		return Started{Worker: a.Worker, Sent: true, Reason: err.Error()}
 	}
 	return Started{Worker: a.Worker, Sent: true, Code: reply.Code, Reason: reply.Reason}
 }
 
-func (e actionCall) workerAddresses() []string {
-	out := make([]string, len(e.workers))
-	for i, w := range e.workers {
-		out[i], _ = e.s.workerAddress(w)
+func (c actionCall) workerAddresses() []string {
+	out := make([]string, len(c.workers))
+	for i, w := range c.workers {
+		out[i], _ = c.s.workerAddress(w)
 	}
 	return out
 }
 
 // listTasks lists a worker's tasks. Concurrent listings of one worker share one
 // call.
-func (e actionCall) listTasks(ctx context.Context, a ListTasks) TasksListed {
-	tasks, err, _ := e.s.taskListings.Do(a.Worker, func() (any, error) {
+func (c actionCall) listTasks(ctx context.Context, a ListTasks) TasksListed {
+	tasks, err, _ := c.s.taskListings.Do(a.Worker, func() (any, error) {
 		var reply workerapi.TasksReply
-		err := e.callWorker(ctx, a.Worker, workerapi.PathTasks, nil, &reply)
+		err := c.callWorker(ctx, a.Worker, workerapi.PathTasks, nil, &reply)
 		return reply.Tasks, err
 	})
 	listed := TasksListed{Worker: a.Worker, Answered: err == nil}
@@ -146,22 +146,22 @@
 	return listed
 }
 
-func (e actionCall) gangRequest(reason string) workerapi.GangRequest {
-	return workerapi.GangRequest{Term: e.term, Gang: e.gang, Reason: reason}
+func (c actionCall) gangRequest(reason string) workerapi.GangRequest {
+	return workerapi.GangRequest{Term: c.term, Gang: c.gang, Reason: reason}
 }
 
-func (e actionCall) checkpoint(ctx context.Context, a Checkpoint) Checkpointed {
-	req := e.gangRequest("")
+func (c actionCall) checkpoint(ctx context.Context, a Checkpoint) Checkpointed {
+	req := c.gangRequest("")
 	req.Grace = a.Grace
 	var reply workerapi.Reply
-	err := e.callWorker(ctx, a.Worker, workerapi.PathCheckpoint, req, &reply)
+	err := c.callWorker(ctx, a.Worker, workerapi.PathCheckpoint, req, &reply)
 	return Checkpointed{Worker: a.Worker, OK: err == nil && reply.Code == workerapi.OK}
 }
 
 // stop reports OK when the worker stopped the gang or does not know it.
-func (e actionCall) stop(ctx context.Context, a Stop) Stopped {
+func (c actionCall) stop(ctx context.Context, a Stop) Stopped {
 	var reply workerapi.Reply
-	err := e.callWorker(ctx, a.Worker, workerapi.PathStop, e.gangRequest(a.Reason), &reply)
+	err := c.callWorker(ctx, a.Worker, workerapi.PathStop, c.gangRequest(a.Reason), &reply)
 	ok := err == nil && (reply.Code == workerapi.OK || reply.Code == workerapi.UnknownGang)
 	return Stopped{Worker: a.Worker, OK: ok}
 }
--- a/gang/assignment.go
+++ b/gang/assignment.go
@@ -98,29 +98,29 @@
 
 func newGangAssignment(o Options) gangAssignment {
 	view := o.Membership.View()
-	sh := gangAssignment{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
+	a := gangAssignment{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
 	for _, h := range view.Neighbours() {
-		sh.hosts = append(sh.hosts, h.Name)
+		a.hosts = append(a.hosts, h.Name)
 	}
 	for _, h := range view.Workers(o.FailureDomain) {
-		sh.racks[h.Name] = h.Rack
+		a.racks[h.Name] = h.Rack
 	}
-	return sh
+	return a
 }
 
 // assignedToSelf reports whether this host has the highest rendezvous hash for the
 // worker's rack.
-func (sh gangAssignment) assignedToSelf(worker string) bool {
-	rack := sh.racks[worker]
+func (a gangAssignment) assignedToSelf(worker string) bool {
+	rack := a.racks[worker]
 	if rack == "" {
 		rack = worker
 	}
 	best, top := "", uint64(0)
-	for _, h := range sh.hosts {
+	for _, h := range a.hosts {
 		sum := xxhash.Sum64String(h + "/" + rack)
 		if best == "" || sum > top || (sum == top && h < best) {
 			best, top = h, sum
 		}
 	}
-	return best == sh.self
+	return best == a.self
 }
--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -27,13 +27,13 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// One failure domain of eight at letter 1's size.
+// Size of one of the 8 failure domains that letter 1 describes.
 const (
-	benchWorkers = 121  // 970 over 8
-	benchTasks   = 1125 // 9,000 over 8
-	benchHosts   = 7
-	benchRack    = 6
-	benchQueue   = 250
+	benchWorkers        = 121  // 970 over 8
+	benchTasks          = 1125 // 9,000 over 8
+	benchHosts          = 7
+	benchWorkersPerRack = 6
+	benchQueuedJobs     = 250
 )
 
 // countingConn counts the bytes of both directions.
@@ -54,14 +54,15 @@
 	return n, err
 }
 
-// benchDomain is a failure domain's state without its scheduler's loop.
+// benchDomain is a failure domain's state without a scheduler loop. It is also the
+// configuration, membership and election source.
 type benchDomain struct {
 	config.Source
-	snap  config.Snapshot
-	view  membership.View
-	jobs  *ledger.Jobs
-	bytes atomic.Int64
-	calls *HTTPWorkerCaller
+	snap         config.Snapshot
+	view         membership.View
+	jobs         *ledger.Jobs
+	bytes        atomic.Int64
+	workerCaller *HTTPWorkerCaller
 }
 
 func (d *benchDomain) Current() (*config.Snapshot, time.Time) { return &d.snap, time.Now() }
@@ -80,7 +81,7 @@
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &d.bytes}, err
 	}
-	d.calls = &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
+	d.workerCaller = &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
 	store := httptest.NewServer(kv.New())
 	b.Cleanup(store.Close)
 	ledgers := ledger.New(ledger.Options{Store: kvstore.NewClient(store.URL), Gap: time.Millisecond})
@@ -103,19 +104,19 @@
 		b.Cleanup(s.Close)
 		workers = append(workers, w)
 		d.view.Hosts = append(d.view.Hosts, kvstore.Host{Name: fmt.Sprintf("worker-%03d", i), Kind: kvstore.Worker,
-			FailureDomain: "fd1", Rack: fmt.Sprint("rack", i/benchRack), Accelerators: 10, Address: strings.TrimPrefix(s.URL, "http://")})
+			FailureDomain: "fd1", Rack: fmt.Sprint("rack", i/benchWorkersPerRack), Accelerators: 10, Address: strings.TrimPrefix(s.URL, "http://")})
 	}
 	return workers
 }
 
 func (d *benchDomain) startGangs(b *testing.B, workers []*worker.Server, gangTasks int) {
-	racks := benchWorkers / benchRack
+	racks := benchWorkers / benchWorkersPerRack
 	for i := range benchTasks / gangTasks {
 		rec := benchRecord(i, gangTasks)
 		rec.Generation = 1
 		g := workerapi.Gang{Job: rec.Spec.ID.String(), Generation: 1}
 		for t := range gangTasks {
-			k := (i%racks)*benchRack + (i/racks+t)%benchRack
+			k := (i%racks)*benchWorkersPerRack + (i/racks+t)%benchWorkersPerRack
 			rec.Workers = append(rec.Workers, fmt.Sprintf("worker-%03d", k))
 			workers[k].Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{t}, TTL: time.Hour})
 			workers[k].Start(workerapi.StartRequest{Gang: g, Tasks: []int{t}, Size: gangTasks, Lease: time.Hour})
@@ -142,11 +143,11 @@
 }
 
 func (d *benchDomain) options() Options {
-	return Options{FailureDomain: "fd1", Ledger: d.jobs, Config: d, Membership: d, Election: d, Workers: d.calls, Logger: log.New(io.Discard)}.withDefaults()
+	return Options{FailureDomain: "fd1", Ledger: d.jobs, Config: d, Membership: d, Election: d, Workers: d.workerCaller, Logger: log.New(io.Discard)}.withDefaults()
 }
 
-// BenchmarkRenewals reports the traffic of renewals of the busiest entry host
-// and of a worker.
+// BenchmarkRenewals reports the renewal traffic of the busiest entry host, of an
+// average entry host and of a worker.
 func BenchmarkRenewals(b *testing.B) {
 	for _, tasks := range []int{1, 9, 34} {
 		b.Run(fmt.Sprintf("gang=%d", tasks), func(b *testing.B) {
@@ -158,7 +159,7 @@
 				for h := range benchHosts {
 					d.view.Self = d.view.Hosts[h]
 					r := newRenewer(d.options(), func(Observation) {})
-					r.renewRound(context.Background()) // the first round probes
+					r.renewRound(context.Background()) // the first round sends probes
 					bytes, sent := d.bytes.Load(), r.renewalsSent.Get()
 					r.renewRound(context.Background())
 					n, m := float64(d.bytes.Load()-bytes), float64(r.renewalsSent.Get()-sent)
@@ -179,8 +180,8 @@
 	}
 }
 
-// BenchmarkCycle reports the time of one round of the scheduler, with and
-// without placement's decision.
+// BenchmarkCycle reports the time of one scheduling cycle, with placement's decision
+// (whole) and without it (acting).
 func BenchmarkCycle(b *testing.B) {
 	cases := []struct {
 		name   string
@@ -196,7 +197,7 @@
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
 			d := newBenchDomain(b, 9)
-			for i := range benchQueue {
+			for i := range benchQueuedJobs {
 				d.put(b, benchRecord(100_000+i, 32))
 			}
 			o := d.options()
@@ -206,7 +207,7 @@
 			ctx := context.Background()
 			s.Cycle(ctx)
 			deadline := time.Now().Add(3 * time.Second)
-			for time.Now().Before(deadline) { // adoption
+			for time.Now().Before(deadline) { // until the gangs are adopted
 				s.deliverEvents(ctx)
 			}
 			b.ResetTimer()
--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -108,11 +108,11 @@
 	if rec.State != job.Stopping {
 		return AdoptRun(g, rec.Workers, now)
 	}
-	order := StopRequest{NextState: job.Queued, Reason: rec.Reason}
+	request := StopRequest{NextState: job.Queued, Reason: rec.Reason}
 	if rec.CancelBy != "" {
-		order.NextState = job.Cancelled
+		request.NextState = job.Cancelled
 	}
-	return ResumeStop(g, rec.Workers, order, now)
+	return ResumeStop(g, rec.Workers, request, now)
 }
 
 func isLive(s job.State) bool { return s == job.Placed || s == job.Running || s == job.Stopping }
@@ -142,8 +142,8 @@
 		if rec.State.Terminal() || rec.State == job.Moved {
 			continue
 		}
-		next, reason, wanted := s.stopReason(rec, snap)
-		if !wanted {
+		next, reason, mustStop := s.stopReason(rec, snap)
+		if !mustStop {
 			continue
 		}
 		if t := s.runs[key]; t != nil {
@@ -232,14 +232,14 @@
 	s.executeActions(ctx, t, actions)
 }
 
-func (s *Scheduler) setWaitReasons(records map[string]job.Record, holds []placement.Hold, otherwise string) {
-	next := make(map[string]string, len(holds))
+func (s *Scheduler) setWaitReasons(records map[string]job.Record, waits []placement.Hold, otherwise string) {
+	next := make(map[string]string, len(waits))
 	for key, rec := range records {
 		if rec.State == job.Queued {
 			next[key] = otherwise
 		}
 	}
-	for _, h := range holds {
+	for _, h := range waits {
 		next[h.ID.String()] = h.Reason
 	}
 	s.mu.Lock()
--- a/gang/deficits_test.go
+++ b/gang/deficits_test.go
@@ -13,11 +13,13 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
+// fixedTerm is an election.Holder that always holds term 1.
 type fixedTerm struct{}
 
 func (fixedTerm) Term() (uint64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true }
 
-// Each deficit is logged once, also when it takes the place of another.
+// TestEachDeficitIsLoggedOnce checks that a deficit is logged when it appears, also
+// when it replaces another one, and not again while it lasts.
 func TestEachDeficitIsLoggedOnce(t *testing.T) {
 	var logs bytes.Buffer
 	s := New(Options{Logger: log.New(&logs), Election: fixedTerm{}})
--- a/gang/estimates.go
+++ b/gang/estimates.go
@@ -23,9 +23,9 @@
 
 func newEstimatesState() estimatesState { return estimatesState{loaded: make(chan json.RawMessage, 1)} }
 
-// recordOutcome updates the estimates, the quarantine and the counters with a
+// countOutcome updates the estimates, the quarantine and the counters with a
 // run's start and with its outcome, each once a run.
-func (s *Scheduler) recordOutcome(t *trackedRun, r RecordState) {
+func (s *Scheduler) countOutcome(t *trackedRun, r RecordState) {
 	now := s.o.Now()
 	spec := t.record.Spec
 	if r.State == job.Running && t.record.Started.IsZero() {
@@ -83,12 +83,12 @@
 	s.ioCalls.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), estimatesIOTimeout)
 		defer cancel()
-		note, found, err := s.o.Notes.Read(ctx, s.estimatesKey())
+		saved, found, err := s.o.Notes.Read(ctx, s.estimatesKey())
 		if err != nil || !found {
 			return
 		}
 		select {
-		case s.estimatesState.loaded <- note:
+		case s.estimatesState.loaded <- saved:
 		default:
 		}
 	})
@@ -109,7 +109,7 @@
 	if s.o.Notes == nil || !s.estimatesState.changed || now.Sub(s.estimatesState.savedAt) < estimatesSaveInterval {
 		return
 	}
-	note, err := json.Marshal(s.estimates)
+	encoded, err := json.Marshal(s.estimates)
 	if err != nil {
 		return
 	}
@@ -118,7 +118,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), estimatesIOTimeout)
 		defer cancel()
 		_, err := s.o.Notes.Update(ctx, s.estimatesKey(), func(json.RawMessage, bool) (json.RawMessage, bool, error) {
-			return note, true, nil
+			return encoded, true, nil
 		})
 		if err != nil {
 			s.o.Logger.Warn("could not save run time estimates", "err", err.Error())
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -20,41 +20,41 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// interceptor is a WorkerCaller that acts at the nth message of a path, before it is
-// sent: once it has returned true, no message of this host gets through.
+// interceptor is a WorkerCaller that calls act before the call number actAtCall to
+// path is sent. Once act has returned true, all calls fail.
 type interceptor struct {
 	gang.WorkerCaller
-	path    string
-	nthCall int
-	act     func() (dead bool)
+	path      string
+	actAtCall int
+	act       func() (dead bool)
 
 	mu       sync.Mutex
 	seen     int
 	dead     bool
-	answered atomic.Int32 // messages of the path that were answered
+	answered atomic.Int32 // calls to path that have returned
 }
 
-func (g *interceptor) Call(ctx context.Context, address, path string, args, reply any) error {
-	g.mu.Lock()
-	if path == g.path {
-		g.seen++
+func (in *interceptor) Call(ctx context.Context, address, path string, args, reply any) error {
+	in.mu.Lock()
+	if path == in.path {
+		in.seen++
 	}
-	if path == g.path && g.seen == g.nthCall && !g.dead {
-		g.dead = g.act()
+	if path == in.path && in.seen == in.actAtCall && !in.dead {
+		in.dead = in.act()
 	}
-	dead := g.dead
-	g.mu.Unlock()
+	dead := in.dead
+	in.mu.Unlock()
 	if dead {
 		return errors.New("this host is dead")
 	}
-	err := g.WorkerCaller.Call(ctx, address, path, args, reply)
-	if path == g.path {
-		g.answered.Add(1)
+	err := in.WorkerCaller.Call(ctx, address, path, args, reply)
+	if path == in.path {
+		in.answered.Add(1)
 	}
 	return err
 }
 
-// stoppableStore is a store that takes no more writes once its host is dead.
+// stoppableStore is a store that rejects writes once dead is true.
 type stoppableStore struct {
 	kvstore.Store
 	dead *atomic.Bool
@@ -67,14 +67,15 @@
 	return m.Store.CompareAndSwap(ctx, key, value, version)
 }
 
-// failOnTwoGenerations fails the test if two generations of the job ever run together.
+// failOnTwoGenerations fails the test if two generations of the job ever run at the
+// same time.
 func (c *cluster) failOnTwoGenerations(s job.Spec) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			if n := c.runningTasks(s); len(n) > 1 {
-				c.t.Errorf("two copies run: %v", n)
+				c.t.Errorf("two generations run: %v", n)
 				return
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -88,6 +89,8 @@
 	must.Wait(t, wait.InitialSuccess(wait.Timeout(30*time.Second), wait.Gap(10*time.Millisecond), wait.BoolFunc(is)), must.Sprint(what))
 }
 
+// TestNewSchedulerRestartsGangAfterKill stops a scheduler between two calls to
+// workers. The next one must restart the gang without two generations running.
 func TestNewSchedulerRestartsGangAfterKill(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -115,7 +118,7 @@
 			whole := c.client
 			c.client = stoppableStore{whole, &dead}
 			one := c.startEntryHost(1, func(o *gang.Options) {
-				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, nthCall: tc.nth, act: func() bool {
+				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, actAtCall: tc.nth, act: func() bool {
 					dead.Store(true)
 					close(killed)
 					return true
@@ -151,15 +154,16 @@
 	one.stop()
 	two := c.startEntryHost(2, nil)
 	c.submit(two, spec("b", 1))
-	waitUntil(t, "the new scheduler knows the job waits for capacity", func() bool {
+	waitUntil(t, "the new scheduler has a wait reason for the job", func() bool {
 		_, known := two.gang.WaitReason(spec("b", 1).ID)
 		return known
 	})
 	must.Eq(t, map[uint64]int{1: 2}, c.runningTasks(s))
 }
 
-// TestStartIsRefusedOutOfService covers the moments at which a start could
-// still slip through once operators have taken the failure domain out.
+// TestStartIsRefusedOutOfService checks that no task starts when the failure domain
+// is taken out of service, or the configuration can no longer be confirmed, after
+// a gang's reservations were permitted and before its starts are.
 func TestStartIsRefusedOutOfService(t *testing.T) {
 	t.Parallel()
 	takeOut := func(s *config.Snapshot) {
@@ -178,13 +182,13 @@
 			c := newCluster(t, 2, nil)
 			s := spec("a", 2)
 			e := c.startEntryHost(1, func(o *gang.Options) {
-				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathReserve, nthCall: 2, act: func() bool {
+				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathReserve, actAtCall: 2, act: func() bool {
 					tc.act(c)
 					return false
 				}}
 			})
 			c.submit(e, s)
-			c.waitForState(e, s, job.Queued) // at once, or after the refusal
+			c.waitForState(e, s, job.Queued) // either not placed yet, or queued again after the refusal
 			waitUntil(t, "the start was refused", func() bool {
 				rec, err := e.intake.Find(context.Background(), org, s.ID)
 				return err == nil && rec.State == job.Queued && rec.Generation == 1
@@ -218,15 +222,16 @@
 	must.EqOp(t, 2, rec.Generation, must.Sprint("the first generation never ran"))
 }
 
-// TestStaleStartIsRefusedAfterHandover freezes a scheduler between its last
-// check and its start message, for longer than its term.
+// TestStaleStartIsRefusedAfterHandover pauses a scheduler between its last permit
+// check and its start request for longer than its term, while another host takes
+// over. Its late start requests must start nothing.
 func TestStaleStartIsRefusedAfterHandover(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
 	s := spec("a", 2)
 	c.failOnTwoGenerations(s)
 	frozen, thaw := make(chan struct{}), make(chan struct{})
-	paused := &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, nthCall: 1, act: func() bool {
+	paused := &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, actAtCall: 1, act: func() bool {
 		close(frozen)
 		<-thaw
 		return false
@@ -272,7 +277,7 @@
 	c.waitForState(e, runs, job.Running)
 	c.submit(e, waits)
 
-	// A read that lost the service's document, or every document, retires nothing.
+	// Configuration without the service's document retires nothing.
 	c.config.edit(func(s *config.Snapshot) { s.Services = map[string]config.Service{} })
 	time.Sleep(3 * time.Second) // several cycles
 	must.Eq(t, map[uint64]int{1: 1}, c.runningTasks(runs))
@@ -286,7 +291,7 @@
 	must.MapEmpty(t, c.runningTasks(runs))
 	tasks := c.workers[0].Tasks().Tasks
 	must.Len(t, 1, tasks)
-	must.False(t, tasks[0].Checkpointed.IsZero(), must.Sprint("its work was saved"))
+	must.False(t, tasks[0].Checkpointed.IsZero(), must.Sprint("the task was checkpointed"))
 }
 
 func TestTakingOutOfServiceCheckpointsAndRequeuesGangs(t *testing.T) {
@@ -331,7 +336,7 @@
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		s := spec(name, 1)
 		c.submit(e, s)
-		waitUntil(t, "the job runs on a sound worker", func() bool {
+		waitUntil(t, "the job runs on a working worker", func() bool {
 			rec, err := e.intake.Find(context.Background(), org, s.ID)
 			return err == nil && rec.State == job.Running && rec.Workers[0] != "w0"
 		})
--- a/gang/move_test.go
+++ b/gang/move_test.go
@@ -16,8 +16,9 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// TestGangMovesFromFailureDomainTakenOutOfService takes out the failure domain of a
-// running gang: it is stopped there, moved, and runs in the other one.
+// TestGangMovesFromFailureDomainTakenOutOfService takes the failure domain of a
+// running gang out of service. The gang must stop there, move and run in the other
+// failure domain.
 func TestGangMovesFromFailureDomainTakenOutOfService(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4, nil)
@@ -51,7 +52,8 @@
 	must.False(t, rec.Checkpointed.IsZero())
 }
 
-// startSecondEntryHost schedules fd2, and moves queued jobs to it.
+// startSecondEntryHost starts an entry host that schedules fd2 and moves queued jobs
+// there.
 func (c *cluster) startSecondEntryHost() {
 	term := &fakeTerm{term: 7}
 	ledgers := ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -17,21 +17,22 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// newFaultFreeSimulation has no random faults, and its first host holds the term.
+// newFaultFreeSimulation returns a simulation without random faults, in which the
+// first host holds the term.
 func newFaultFreeSimulation(t *testing.T) *simulation {
-	w := newSimulation(t, 1)
-	w.faultFree = true
-	w.runTime = time.Hour
-	w.hosts[1].platformCut = true
-	w.advance(3 * time.Second)
-	w.hosts[1].platformCut = false
-	w.advance(2 * time.Second)
-	return w
+	sim := newSimulation(t, 1)
+	sim.faultFree = true
+	sim.runTime = time.Hour
+	sim.hosts[1].platformCut = true
+	sim.advance(3 * time.Second)
+	sim.hosts[1].platformCut = false
+	sim.advance(2 * time.Second)
+	return sim
 }
 
-// runningGeneration returns the generation that runs of a job; 0: none.
-func (w *simulation) runningGeneration(key string) uint64 {
-	for _, s := range w.workers {
+// runningGeneration returns the job's generation that runs; 0: none.
+func (sim *simulation) runningGeneration(key string) uint64 {
+	for _, s := range sim.workers {
 		for _, t := range s.Tasks().Tasks {
 			if t.State == workerapi.TaskRunning && t.Gang.Job == key {
 				return t.Gang.Generation
@@ -43,56 +44,57 @@
 
 func TestPlatformOutageStartsAndStopsNoGang(t *testing.T) {
 	t.Parallel()
-	w := newFaultFreeSimulation(t)
-	lost := w.ledger["o/s/0"]
-	w.platformDown = true
-	w.advance(termDuration + 5*time.Second) // no scheduler any more
-	w.workers[workerIndex(lost.Workers[0])].Restart()
-	before := w.starts
-	w.advance(30 * time.Minute)
-	must.EqOp(t, before, w.starts)
-	must.EqOp(t, 0, w.runningGeneration("o/s/0"))
+	sim := newFaultFreeSimulation(t)
+	lost := sim.ledger["o/s/0"]
+	sim.platformDown = true
+	sim.advance(termDuration + 5*time.Second) // the term has ended, so that no host schedules
+	sim.workers[workerIndex(lost.Workers[0])].Restart()
+	before := sim.starts
+	sim.advance(30 * time.Minute)
+	must.EqOp(t, before, sim.starts)
+	must.EqOp(t, 0, sim.runningGeneration("o/s/0"))
 	kept := 0
-	for key, rec := range w.ledger {
+	for key, rec := range sim.ledger {
 		if !slices.Contains(rec.Workers, lost.Workers[0]) {
-			must.EqOp(t, rec.Generation, w.runningGeneration(key))
+			must.EqOp(t, rec.Generation, sim.runningGeneration(key))
 			kept++
 		}
 	}
 	must.Positive(t, kept)
-	w.platformDown = false
-	w.advance(time.Minute)
-	must.Greater(t, 1, w.runningGeneration("o/s/0"))
+	sim.platformDown = false
+	sim.advance(time.Minute)
+	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
 }
 
 func TestUnreachableGangRestartsAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	w := newFaultFreeSimulation(t)
-	k := workerIndex(w.ledger["o/s/0"].Workers[0])
-	w.linksCut[0][k], w.linksCut[1][k] = true, true
-	w.advance(LeaseDuration - RenewInterval)
-	must.EqOp(t, 1, w.runningGeneration("o/s/0"), must.Sprint("its lease has not lapsed"))
-	w.advance(2 * time.Minute)
-	again := w.runningGeneration("o/s/0")
+	sim := newFaultFreeSimulation(t)
+	k := workerIndex(sim.ledger["o/s/0"].Workers[0])
+	sim.linksCut[0][k], sim.linksCut[1][k] = true, true
+	sim.advance(LeaseDuration - RenewInterval)
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("its lease has not lapsed"))
+	sim.advance(2 * time.Minute)
+	again := sim.runningGeneration("o/s/0")
 	must.Greater(t, 1, again)
-	w.linksCut[0][k], w.linksCut[1][k] = false, false
-	w.advance(time.Minute)
-	must.EqOp(t, again, w.runningGeneration("o/s/0"))
+	sim.linksCut[0][k], sim.linksCut[1][k] = false, false
+	sim.advance(time.Minute)
+	must.EqOp(t, again, sim.runningGeneration("o/s/0"))
 }
 
-// TestGangRestartsOnlyAfterPartitionedRenewerIsFenced has a host that knows only an old ledger and still
-// reaches a worker that the scheduler can not reach.
+// TestGangRestartsOnlyAfterPartitionedRenewerIsFenced guards against two running
+// generations: a host that reads only an old ledger can still renew on a worker
+// that the scheduler cannot reach, so the scheduler must fence that host first.
 func TestGangRestartsOnlyAfterPartitionedRenewerIsFenced(t *testing.T) {
 	t.Parallel()
-	w := newFaultFreeSimulation(t)
-	k := workerIndex(w.ledger["o/s/0"].Workers[0])
-	w.hosts[1].platformCut, w.hostsPartitioned = true, true
-	w.linksCut[0][k] = true
-	w.advance(5 * time.Minute)
-	must.EqOp(t, 1, w.runningGeneration("o/s/0"), must.Sprint("the other host goes on renewing"))
-	w.hostsPartitioned = false
-	w.advance(5 * time.Minute)
-	must.Greater(t, 1, w.runningGeneration("o/s/0"))
+	sim := newFaultFreeSimulation(t)
+	k := workerIndex(sim.ledger["o/s/0"].Workers[0])
+	sim.hosts[1].platformCut, sim.hostsPartitioned = true, true
+	sim.linksCut[0][k] = true
+	sim.advance(5 * time.Minute)
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("the other host goes on renewing"))
+	sim.hostsPartitioned = false
+	sim.advance(5 * time.Minute)
+	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
 }
 
 // fixedView is a membership.Source that never changes.
@@ -100,8 +102,9 @@
 
 func (f *fixedView) View() *membership.View { return &f.view }
 
-// TestHostStartedDuringOutageRenewsOnlyWholeGangs has an entry host that never read
-// the ledger: it keeps what the workers run, but no gang in part.
+// TestHostStartedDuringOutageRenewsOnlyWholeGangs starts an entry host that never
+// read the ledger. It must renew the gangs that the workers list, but none of
+// which only some tasks run.
 func TestHostStartedDuringOutageRenewsOnlyWholeGangs(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_000_000, 0)
--- a/gang/records.go
+++ b/gang/records.go
@@ -22,13 +22,13 @@
 var errSuperseded = errors.New("gang: run is superseded by the job's record in the ledger")
 
 // writeState writes the run's state to the ledger.
-func (e actionCall) writeState(ctx context.Context, a RecordState) Recorded {
+func (c actionCall) writeState(ctx context.Context, a RecordState) Recorded {
 	ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
-	rec := e.record
-	now := e.s.o.Now()
-	limit := maxFailures(e.s.o.Config, rec.Spec)
-	_, err := e.s.o.Ledger.Update(ctx, e.gang.Job, func(old job.Record, found bool) (job.Record, bool, error) {
+	rec := c.record
+	now := c.s.o.Now()
+	limit := maxFailures(c.s.o.Config, rec.Spec)
+	_, err := c.s.o.Ledger.Update(ctx, c.gang.Job, func(old job.Record, found bool) (job.Record, bool, error) {
 		next, err := transition(old, found, rec, a, limit, now)
 		return next, found, err
 	})
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -73,17 +73,17 @@
 }
 
 // SetAssigned replaces the gangs whose leases this host renews.
-func (r *RenewalPlanner) SetAssigned(now time.Time, roster []AssignedGang) {
-	next := make(map[workerapi.Gang]*gangLeases, len(roster))
-	for _, g := range roster {
+func (r *RenewalPlanner) SetAssigned(now time.Time, assigned []AssignedGang) {
+	next := make(map[workerapi.Gang]*gangLeases, len(assigned))
+	for _, g := range assigned {
 		if _, released := r.releasedAt[g.Gang]; released {
 			continue
 		}
-		k := r.gangs[g.Gang]
-		if k == nil {
-			k = newGangLeases(now, g.Workers)
+		leases := r.gangs[g.Gang]
+		if leases == nil {
+			leases = newGangLeases(now, g.Workers)
 		}
-		next[g.Gang] = k
+		next[g.Gang] = leases
 	}
 	r.gangs = next
 	for g, at := range r.releasedAt {
@@ -94,11 +94,11 @@
 }
 
 func newGangLeases(now time.Time, workers []string) *gangLeases {
-	k := &gangLeases{assignedAt: now, workers: make(map[string]*memberLease, len(workers))}
+	leases := &gangLeases{assignedAt: now, workers: make(map[string]*memberLease, len(workers))}
 	for _, w := range workers {
-		k.workers[w] = &memberLease{confirmedAt: now}
+		leases.workers[w] = &memberLease{confirmedAt: now}
 	}
-	return k
+	return leases
 }
 
 // PlanRound returns the requests of one round, probes before renewals and each
@@ -107,16 +107,16 @@
 func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, lost []Observation) {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
-		k := r.gangs[g]
-		if k.abandoned {
+		leases := r.gangs[g]
+		if leases.abandoned {
 			continue
 		}
-		if w := k.expiredWorker(now); w != "" {
-			k.abandoned = true
+		if w := leases.expiredWorker(now); w != "" {
+			leases.abandoned = true
 			lost = append(lost, Observation{Gang: g, Worker: w, Unreachable: true})
 			continue
 		}
-		set.add(g, k)
+		set.add(g, leases)
 	}
 	return set.batches(), lost
 }
@@ -127,9 +127,9 @@
 func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
-		k := r.gangs[g]
-		if !k.abandoned && (k.probing || k.hasUnconfirmed()) {
-			set.add(g, k)
+		leases := r.gangs[g]
+		if !leases.abandoned && (leases.probing || leases.hasUnconfirmed()) {
+			set.add(g, leases)
 		}
 	}
 	return set.batches()
@@ -146,15 +146,15 @@
 }
 
 // add adds a gang's next probes or renewals.
-func (b batchSet) add(g workerapi.Gang, k *gangLeases) {
-	k.probing = k.hasUnconfirmed()
-	for w, s := range k.workers {
+func (b batchSet) add(g workerapi.Gang, leases *gangLeases) {
+	leases.probing = leases.hasUnconfirmed()
+	for w, lease := range leases.workers {
 		switch {
-		case s.finished:
-		case !k.probing:
-			s.confirmed = false
+		case lease.finished:
+		case !leases.probing:
+			lease.confirmed = false
 			b.renewals[w] = append(b.renewals[w], g)
-		case !s.confirmed:
+		case !lease.confirmed:
 			b.probes[w] = append(b.probes[w], g)
 		}
 	}
@@ -173,9 +173,9 @@
 
 // hasUnconfirmed reports whether some member did not confirm the last renewal or
 // probe.
-func (k *gangLeases) hasUnconfirmed() bool {
-	for _, s := range k.workers {
-		if !s.finished && !s.confirmed {
+func (leases *gangLeases) hasUnconfirmed() bool {
+	for _, lease := range leases.workers {
+		if !lease.finished && !lease.confirmed {
 			return true
 		}
 	}
@@ -198,10 +198,10 @@
 
 // expiredWorker returns the first worker by name that confirmed nothing for a
 // whole lease, or "".
-func (k *gangLeases) expiredWorker(now time.Time) string {
+func (leases *gangLeases) expiredWorker(now time.Time) string {
 	found := ""
-	for w, s := range k.workers {
-		if !s.finished && now.Sub(s.confirmedAt) >= LeaseDuration && (found == "" || w < found) {
+	for w, lease := range leases.workers {
+		if !lease.finished && now.Sub(lease.confirmedAt) >= LeaseDuration && (found == "" || w < found) {
 			found = w
 		}
 	}
@@ -217,23 +217,23 @@
 	}
 	var out []Observation
 	for _, g := range b.Gangs {
-		k := r.gangs[g]
-		if k == nil || k.workers[b.Worker] == nil {
+		leases := r.gangs[g]
+		if leases == nil || leases.workers[b.Worker] == nil {
 			continue
 		}
 		if !missing[g] {
-			s := k.workers[b.Worker]
-			s.confirmedAt, s.confirmed = now, true
+			lease := leases.workers[b.Worker]
+			lease.confirmedAt, lease.confirmed = now, true
 			continue
 		}
-		out = append(out, k.onMissing(now, g, b.Worker, reply.Ended)...)
+		out = append(out, leases.onMissing(now, g, b.Worker, reply.Ended)...)
 	}
 	return out
 }
 
 // onMissing handles a gang that a worker did not renew: its tasks finished there,
 // some ended otherwise, or its start is still in progress.
-func (k *gangLeases) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
+func (leases *gangLeases) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
 	var tasks []workerapi.Task
 	finished := true
 	for _, t := range ended {
@@ -242,12 +242,12 @@
 			finished = finished && t.State == workerapi.TaskFinished
 		}
 	}
-	starting := len(tasks) == 0 && now.Sub(k.assignedAt) < LeaseDuration
+	starting := len(tasks) == 0 && now.Sub(leases.assignedAt) < LeaseDuration
 	if starting {
 		return nil
 	}
-	s := k.workers[worker]
-	s.finished = finished && len(tasks) > 0
-	k.abandoned = k.abandoned || !s.finished
+	lease := leases.workers[worker]
+	lease.finished = finished && len(tasks) > 0
+	leases.abandoned = leases.abandoned || !lease.finished
 	return []Observation{{Gang: g, Worker: worker, Tasks: tasks}}
 }
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -54,11 +54,11 @@
 // renewRound runs one round: a first pass of renewals and probes to the workers
 // of the assigned gangs, and a second pass that depends on their answers.
 func (r *renewer) renewRound(ctx context.Context) {
-	roster := r.assignedGangs(ctx)
+	assigned := r.assignedGangs(ctx)
 	r.roundMu.RLock()
 	defer r.roundMu.RUnlock()
 	r.mu.Lock()
-	r.planner.SetAssigned(r.o.Now(), roster)
+	r.planner.SetAssigned(r.o.Now(), assigned)
 	batches, lost := r.planner.PlanRound(r.o.Now())
 	r.mu.Unlock()
 	r.reportObservations(ctx, lost)
--- a/gang/run.go
+++ b/gang/run.go
@@ -127,19 +127,19 @@
 }
 
 // ResumeStop continues a stop that an earlier scheduler wrote to the ledger.
-func ResumeStop(g workerapi.Gang, workers []string, order StopRequest, now time.Time) (*Run, []Action) {
+func ResumeStop(g workerapi.Gang, workers []string, request StopRequest, now time.Time) (*Run, []Action) {
 	r := newRunInPhase(g, workers, Stopping, now)
 	for _, m := range r.members {
 		m.status = memberMayRun
 	}
-	r.stopRequest = order
+	r.stopRequest = request
 	return r, r.tick(now)
 }
 
 func (r *Run) recordState(state job.State, reason string) RecordState {
 	r.requestedState = state
-	saved := r.allMembers(func(m *member) bool { return m.checkpointed })
-	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspectWorkers, Checkpointed: saved}
+	checkpointed := r.allMembers(func(m *member) bool { return m.checkpointed })
+	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspectWorkers, Checkpointed: checkpointed}
 }
 
 func (r *Run) enterPhase(p Phase, now time.Time) {
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -165,10 +165,10 @@
 		case <-ledgerChanged:
 		case <-configChanged:
 		case <-s.cycleRequests:
-		case note := <-s.estimatesState.loaded:
-			s.replaceEstimates(note)
-		case o := <-s.startableQueries:
-			s.answerStartable(o)
+		case saved := <-s.estimatesState.loaded:
+			s.replaceEstimates(saved)
+		case q := <-s.startableQueries:
+			s.answerStartable(q)
 		}
 		timer.Stop()
 		s.deliverEvents(ctx)
--- a/gang/scheduler_test.go
+++ b/gang/scheduler_test.go
@@ -49,7 +49,7 @@
 	f.snap.Revision++
 }
 
-// setConfirmationAge makes the configuration's last confirmation so old.
+// setConfirmationAge sets the age of the configuration's last confirmation.
 func (f *fakeConfig) setConfirmationAge(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +78,8 @@
 
 func (f *fakeView) View() *membership.View { return &f.view }
 
-// cluster is one failure domain on loopback: a store, workers, no entry host yet.
+// cluster is one failure domain on loopback: a store and workers. Tests start the
+// entry hosts.
 type cluster struct {
 	t       *testing.T
 	store   *kv.Server
@@ -124,7 +125,7 @@
 	return c
 }
 
-// entry is one entry host's slices.
+// entry is an entry host's ledgers, intake and gang scheduler.
 type entry struct {
 	ledgers *ledger.Ledgers
 	intake  *intake.Intake
@@ -133,7 +134,7 @@
 	stop    func()
 }
 
-// startEntryHost starts an entry host that holds the given term; 0 holds none.
+// startEntryHost starts an entry host that holds the given term; 0: none.
 func (c *cluster) startEntryHost(term uint64, change func(*gang.Options)) *entry {
 	e := &entry{term: &fakeTerm{term: term}}
 	e.ledgers = ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
@@ -164,7 +165,7 @@
 	must.NoError(c.t, err)
 }
 
-// waitForState waits until the job is in the state.
+// waitForState waits until the job is in the state and returns its record.
 func (c *cluster) waitForState(e *entry, s job.Spec, state job.State) job.Record {
 	c.t.Helper()
 	var rec job.Record
@@ -175,7 +176,8 @@
 	return rec
 }
 
-// runningTasks counts the job's runningTasks tasks by generation over all workers.
+// runningTasks returns the number of the job's running tasks on all workers by
+// generation.
 func (c *cluster) runningTasks(s job.Spec) map[uint64]int {
 	out := make(map[uint64]int)
 	for _, w := range c.workers {
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -23,16 +23,20 @@
 	maxStartAfterOut = 3 * time.Second
 	faultKinds       = 8
 	simSeeds         = 150
-	// A partial gang lasts at most a lease, one renewal and what is under way.
+	// maxPartialDuration limits how long only some tasks of a gang may run: a lease,
+	// one renewal interval and messages in flight.
 	maxPartialDuration = LeaseDuration + RenewInterval + 2*maxMessageDelay + 2*time.Second
 )
 
+// scheduledCall is a function to call at a virtual time; seq orders calls of the
+// same time.
 type scheduledCall struct {
 	at   time.Time
 	seq  int
 	call func()
 }
 
+// callQueue is a heap of calls in the order of their times.
 type callQueue []scheduledCall
 
 func (l callQueue) Len() int { return len(l) }
@@ -51,13 +55,14 @@
 	return x
 }
 
-// simHost is an entry host: renewals always, a scheduler while it has a term.
+// simHost is an entry host: it always renews leases, and schedules while it holds
+// the term.
 type simHost struct {
 	planner       *RenewalPlanner
-	ledgerSeen    map[string]job.Record // ledger as last seen
+	ledgerSeen    map[string]job.Record // ledger as last read
 	dead          bool
-	pausedUntil   time.Time // frozen until then
-	platformCut   bool      // from the platform
+	pausedUntil   time.Time // the host does nothing until then
+	platformCut   bool      // no connection to the platform
 	term          uint64
 	termEnd       time.Time // end of the term, on the host's own clock
 	runs          map[string]*Run
@@ -66,7 +71,7 @@
 }
 
 // simulation drives runs, renewals and worker stand-ins by random events in virtual
-// time. Messages take up to maxTransit, and are lost or answered in vain.
+// time. Messages take up to maxMessageDelay; a message or its answer may be lost.
 type simulation struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -75,217 +80,220 @@
 	seq              int
 	workers          []*worker.Server
 	hosts            [simHosts]*simHost
-	linksCut         [simHosts][simWorkers]bool // cut
+	linksCut         [simHosts][simWorkers]bool // no connection between host and worker
 	ledger           map[string]job.Record
 	term             uint64
-	platformTermEnd  time.Time // the platform's end of the present term
-	platformDown     bool      // platform
-	hostsPartitioned bool      // the entry hosts do not reach each other
-	out              bool
+	platformTermEnd  time.Time // end of the current term on the platform's clock
+	platformDown     bool
+	hostsPartitioned bool // the entry hosts cannot reach each other
+	out              bool // the failure domain is out of service
 	outAt            time.Time
-	faultFree        bool          // no more faults
-	enabledFaults    []int         // faults of this seed
-	runTime          time.Duration // of every task; 0: by generation
-	partialSince     map[workerapi.Gang]time.Time
+	faultFree        bool                         // no faults occur
+	enabledFaults    []int                        // kinds of faults that occur with this seed
+	runTime          time.Duration                // of every task; 0: depends on the generation
+	partialSince     map[workerapi.Gang]time.Time // gangs of which only some tasks run
 	starts           int
 }
 
 func newSimulation(t *testing.T, seed int64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_000_000, 0),
+	sim := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Unix(1_000_000, 0),
 		ledger: make(map[string]job.Record), partialSince: make(map[workerapi.Gang]time.Time)}
 	for i := range simWorkers {
-		w.workers = append(w.workers, worker.New(worker.Options{Name: fmt.Sprint(i), Accelerators: 2,
-			Now: func() time.Time { return w.now },
+		sim.workers = append(sim.workers, worker.New(worker.Options{Name: fmt.Sprint(i), Accelerators: 2,
+			Now: func() time.Time { return sim.now },
 			RunTime: func(g workerapi.Gang, _ int) time.Duration {
-				if w.runTime > 0 {
-					return w.runTime
+				if sim.runTime > 0 {
+					return sim.runTime
 				}
 				return time.Duration(20+int(g.Generation)*7) * time.Second
 			},
-			Fail: func(workerapi.Gang, int) bool { return !w.faultFree && w.rng.Intn(40) == 0 },
+			Fail: func(workerapi.Gang, int) bool { return !sim.faultFree && sim.rng.Intn(40) == 0 },
 		}))
 	}
-	for i := range w.hosts {
-		w.hosts[i] = &simHost{planner: NewRenewalPlanner(), runs: make(map[string]*Run)}
-		w.every(time.Second, func() { w.runCycle(i) })
-		w.every(RenewInterval, func() { w.renewRound(i) })
-		w.every(500*time.Millisecond, func() { w.readPlatform(i) })
+	for i := range sim.hosts {
+		sim.hosts[i] = &simHost{planner: NewRenewalPlanner(), runs: make(map[string]*Run)}
+		sim.every(time.Second, func() { sim.runCycle(i) })
+		sim.every(RenewInterval, func() { sim.renewRound(i) })
+		sim.every(500*time.Millisecond, func() { sim.readPlatform(i) })
 	}
-	// Each seed has faults of some kinds only, so that they last and meet.
+	// Each seed has only some kinds of faults, so that faults last longer and
+	// overlap.
 	for kind := range faultKinds {
-		if w.rng.Intn(2) == 0 {
-			w.enabledFaults = append(w.enabledFaults, kind)
+		if sim.rng.Intn(2) == 0 {
+			sim.enabledFaults = append(sim.enabledFaults, kind)
 		}
 	}
-	w.enabledFaults = append(w.enabledFaults, w.rng.Intn(faultKinds))
+	sim.enabledFaults = append(sim.enabledFaults, sim.rng.Intn(faultKinds))
 	for i := range simJobs {
 		rec := job.Record{Spec: job.Spec{ID: job.ID{Organisation: "o", Service: "s", Name: fmt.Sprint(i)},
 			Shape: job.Shape{Tasks: 1 + i, AcceleratorsPerTask: 1}, Checkpoint: i%2 == 0}}
-		rec.Enter(job.Queued, "", w.now)
-		w.ledger[rec.Spec.ID.String()] = rec
+		rec.Enter(job.Queued, "", sim.now)
+		sim.ledger[rec.Spec.ID.String()] = rec
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, scheduledCall{w.now.Add(d), w.seq, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, scheduledCall{sim.now.Add(d), sim.seq, do})
 }
 
-func (w *simulation) every(d time.Duration, do func()) {
-	w.after(time.Duration(w.rng.Int63n(int64(d))), func() { do(); w.repeat(d, do) })
+func (sim *simulation) every(d time.Duration, do func()) {
+	sim.after(time.Duration(sim.rng.Int63n(int64(d))), func() { do(); sim.repeat(d, do) })
 }
 
-func (w *simulation) repeat(d time.Duration, do func()) {
-	w.after(d, func() { do(); w.repeat(d, do) })
+func (sim *simulation) repeat(d time.Duration, do func()) {
+	sim.after(d, func() { do(); sim.repeat(d, do) })
 }
 
-func (w *simulation) messageDelay() time.Duration {
-	if w.faultFree || w.rng.Intn(10) > 0 {
-		return time.Duration(w.rng.Intn(5)) * time.Millisecond
+func (sim *simulation) messageDelay() time.Duration {
+	if sim.faultFree || sim.rng.Intn(10) > 0 {
+		return time.Duration(sim.rng.Intn(5)) * time.Millisecond
 	}
-	return time.Duration(w.rng.Int63n(int64(maxMessageDelay)))
+	return time.Duration(sim.rng.Int63n(int64(maxMessageDelay)))
 }
 
-// pauseHost stops a host at times between its last check and its message.
-func (w *simulation) pauseHost(h *simHost) time.Duration {
-	if w.faultFree || w.rng.Intn(20) > 0 {
+// pauseHost randomly pauses a host between its last check and the sending of its
+// message, and returns for how long.
+func (sim *simulation) pauseHost(h *simHost) time.Duration {
+	if sim.faultFree || sim.rng.Intn(20) > 0 {
 		return 0
 	}
-	d := time.Duration(w.rng.Intn(20_000)) * time.Millisecond
-	h.pausedUntil = w.now.Add(d)
+	d := time.Duration(sim.rng.Intn(20_000)) * time.Millisecond
+	h.pausedUntil = sim.now.Add(d)
 	return d
 }
 
-func (w *simulation) messageLost() bool { return !w.faultFree && w.rng.Intn(30) == 0 }
+func (sim *simulation) messageLost() bool { return !sim.faultFree && sim.rng.Intn(30) == 0 }
 
-// onHost runs do on a host, once it is awake, unless it died meanwhile.
-func (w *simulation) onHost(i int, h *simHost, do func()) {
+// onHost runs do on a host once it is not paused, unless it crashed in the
+// meantime.
+func (sim *simulation) onHost(i int, h *simHost, do func()) {
 	switch {
-	case w.hosts[i] != h || h.dead:
-	case w.now.Before(h.pausedUntil):
-		w.after(h.pausedUntil.Sub(w.now), func() { w.onHost(i, h, do) })
+	case sim.hosts[i] != h || h.dead:
+	case sim.now.Before(h.pausedUntil):
+		sim.after(h.pausedUntil.Sub(sim.now), func() { sim.onHost(i, h, do) })
 	default:
 		do()
 	}
 }
 
-// sendMessage carries a call to a worker and its answer back; either may be lost,
-// and then the caller learns so after its timeout.
-func (w *simulation) sendMessage(i, k int, call func(*worker.Server) Event, failed Event, back func(Event)) {
-	h := w.hosts[i]
+// sendMessage delivers a call to a worker and the answer to done. When either is
+// lost, done gets failed after the call's timeout.
+func (sim *simulation) sendMessage(i, k int, call func(*worker.Server) Event, failed Event, done func(Event)) {
+	h := sim.hosts[i]
 	answered := false
-	w.after(workerCallTimeout, func() {
-		w.onHost(i, h, func() {
+	sim.after(workerCallTimeout, func() {
+		sim.onHost(i, h, func() {
 			if !answered {
 				answered = true
-				back(failed)
+				done(failed)
 			}
 		})
 	})
-	if w.linksCut[i][k] || w.messageLost() {
+	if sim.linksCut[i][k] || sim.messageLost() {
 		return
 	}
-	w.after(w.pauseHost(h)+w.messageDelay(), func() {
-		e := call(w.workers[k])
-		w.checkInvariants()
-		if w.messageLost() {
+	sim.after(sim.pauseHost(h)+sim.messageDelay(), func() {
+		e := call(sim.workers[k])
+		sim.checkInvariants()
+		if sim.messageLost() {
 			return
 		}
-		w.after(w.messageDelay(), func() {
-			w.onHost(i, h, func() {
+		sim.after(sim.messageDelay(), func() {
+			sim.onHost(i, h, func() {
 				if !answered {
 					answered = true
-					back(e)
+					done(e)
 				}
 			})
 		})
 	})
 }
 
-func (w *simulation) holdsTerm(h *simHost) bool { return h.term != 0 && w.now.Before(h.termEnd) }
+func (sim *simulation) holdsTerm(h *simHost) bool { return h.term != 0 && sim.now.Before(h.termEnd) }
 
-func (w *simulation) startPermitted(h *simHost, term uint64) bool {
-	return w.holdsTerm(h) && h.term == term && !h.outSeen && w.now.Sub(h.configAskedAt) <= MaxConfigAge
+func (sim *simulation) startPermitted(h *simHost, term uint64) bool {
+	return sim.holdsTerm(h) && h.term == term && !h.outSeen && sim.now.Sub(h.configAskedAt) <= MaxConfigAge
 }
 
-func (w *simulation) executeActions(i int, g workerapi.Gang, actions []Action) {
-	h := w.hosts[i]
+func (sim *simulation) executeActions(i int, g workerapi.Gang, actions []Action) {
+	h := sim.hosts[i]
 	term := h.term
 	post := func(e Event) {
 		run := h.runs[g.Job]
 		if run == nil || run.Gang != g || h.term != term {
 			return
 		}
-		w.executeActions(i, g, run.Step(w.now, e))
+		sim.executeActions(i, g, run.Step(sim.now, e))
 		if run.Phase == Ended {
 			delete(h.runs, g.Job)
 		}
 	}
 	for _, a := range actions {
-		w.after(w.messageDelay(), func() {
-			w.onHost(i, h, func() { w.executeAction(i, g, term, a, post) })
+		sim.after(sim.messageDelay(), func() {
+			sim.onHost(i, h, func() { sim.executeAction(i, g, term, a, post) })
 		})
 	}
 }
 
 func workerIndex(name string) int { return int(name[0] - '0') }
 
-func (w *simulation) executeAction(i int, g workerapi.Gang, term uint64, a Action, post func(Event)) {
-	h := w.hosts[i]
+func (sim *simulation) executeAction(i int, g workerapi.Gang, term uint64, a Action, post func(Event)) {
+	h := sim.hosts[i]
 	req := workerapi.GangRequest{Term: term, Gang: g}
 	switch a := a.(type) {
 	case RecordState:
-		post(w.writeState(h, g, term, a))
+		post(sim.writeState(h, g, term, a))
 	case Reserve:
-		if !w.startPermitted(h, term) {
+		if !sim.startPermitted(h, term) {
 			post(Reserved{Worker: a.Worker, Code: workerapi.Refused})
 			return
 		}
-		w.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
+		sim.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
 			r := s.Reserve(workerapi.ReserveRequest{Term: term, Gang: g, Tasks: a.Tasks, AcceleratorsPerTask: 1, TTL: ReservationTTL})
 			return Reserved{Worker: a.Worker, Code: r.Code}
 		}, Reserved{Worker: a.Worker}, post)
 	case Start:
-		if !w.startPermitted(h, term) {
+		if !sim.startPermitted(h, term) {
 			post(Started{Worker: a.Worker})
 			return
 		}
-		size := w.ledger[g.Job].Spec.Shape.Tasks
-		w.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
+		size := sim.ledger[g.Job].Spec.Shape.Tasks
+		sim.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
 			r := s.Start(workerapi.StartRequest{Term: term, Gang: g, Tasks: a.Tasks, Size: size, Lease: LeaseDuration})
-			w.checkStart(r.Code)
+			sim.checkStart(r.Code)
 			return Started{Worker: a.Worker, Sent: true, Code: r.Code}
 		}, Started{Worker: a.Worker, Sent: true}, post)
 	case ListTasks:
-		w.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
+		sim.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
 			return TasksListed{Worker: a.Worker, Answered: true, Tasks: s.Tasks().Tasks}
 		}, TasksListed{Worker: a.Worker}, post)
 	case Checkpoint:
-		w.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
+		sim.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
 			return Checkpointed{Worker: a.Worker, OK: s.Checkpoint(req).Code == workerapi.OK}
 		}, Checkpointed{Worker: a.Worker}, post)
 	case Stop:
-		w.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
+		sim.sendMessage(i, workerIndex(a.Worker), func(s *worker.Server) Event {
 			return Stopped{Worker: a.Worker, OK: s.Stop(req).Code != workerapi.StaleTerm}
 		}, Stopped{Worker: a.Worker}, post)
 	case Fence:
 		ok := true
-		for _, other := range w.hosts {
-			if other != h && (w.hostsPartitioned || other.dead || w.now.Before(other.pausedUntil)) {
-				ok = false // listed, and does not answer
+		for _, other := range sim.hosts {
+			if other != h && (sim.hostsPartitioned || other.dead || sim.now.Before(other.pausedUntil)) {
+				ok = false // the host is listed but does not answer
 				continue
 			}
-			other.planner.StopRenewing(w.now, g)
+			other.planner.StopRenewing(sim.now, g)
 		}
 		post(Fenced{OK: ok})
 	}
 }
 
-// writeState brings the ledger to a run's state. The answer may be lost after the
-// writeState took effect.
-func (w *simulation) writeState(h *simHost, g workerapi.Gang, term uint64, a RecordState) Recorded {
-	if w.platformDown || h.platformCut {
+// writeState writes a run's state to the ledger. The answer may be lost after the
+// write took effect.
+func (sim *simulation) writeState(h *simHost, g workerapi.Gang, term uint64, a RecordState) Recorded {
+	if sim.platformDown || h.platformCut {
 		return Recorded{State: a.State}
 	}
 	run := h.runs[g.Job]
@@ -293,42 +301,43 @@
 		return Recorded{State: a.State}
 	}
 	rec := job.Record{Generation: g.Generation, Workers: run.Workers, Term: term}
-	next, err := transition(w.ledger[g.Job], true, rec, a, 100, w.now)
+	next, err := transition(sim.ledger[g.Job], true, rec, a, 100, sim.now)
 	if err != nil {
 		return Recorded{State: a.State, Superseded: true}
 	}
-	w.ledger[g.Job] = next
-	return Recorded{State: a.State, OK: !w.messageLost()}
+	sim.ledger[g.Job] = next
+	return Recorded{State: a.State, OK: !sim.messageLost()}
 }
 
-// readPlatform reads the configuration and the ledger, and takes or keeps the term.
-func (w *simulation) readPlatform(i int) {
-	h := w.hosts[i]
-	w.onHost(i, h, func() {
-		if w.platformDown || h.platformCut {
+// readPlatform reads the configuration and the ledger, and acquires or renews the
+// term.
+func (sim *simulation) readPlatform(i int) {
+	h := sim.hosts[i]
+	sim.onHost(i, h, func() {
+		if sim.platformDown || h.platformCut {
 			return
 		}
-		h.configAskedAt, h.outSeen = w.now, w.out
+		h.configAskedAt, h.outSeen = sim.now, sim.out
 		h.ledgerSeen = make(map[string]job.Record)
-		for k, v := range w.ledger {
+		for k, v := range sim.ledger {
 			h.ledgerSeen[k] = v
 		}
 		switch {
-		case w.holdsTerm(h) && h.term == w.term:
-			h.termEnd, w.platformTermEnd = w.now.Add(termDuration), w.now.Add(termDuration)
-		case !w.now.Before(w.platformTermEnd):
-			w.term++
-			h.term, h.termEnd, w.platformTermEnd = w.term, w.now.Add(termDuration), w.now.Add(termDuration)
+		case sim.holdsTerm(h) && h.term == sim.term:
+			h.termEnd, sim.platformTermEnd = sim.now.Add(termDuration), sim.now.Add(termDuration)
+		case !sim.now.Before(sim.platformTermEnd):
+			sim.term++
+			h.term, h.termEnd, sim.platformTermEnd = sim.term, sim.now.Add(termDuration), sim.now.Add(termDuration)
 			h.runs = make(map[string]*Run)
 		}
 	})
 }
 
-// runCycle is the scheduler's round, with placement at random.
-func (w *simulation) runCycle(i int) {
-	h := w.hosts[i]
-	w.onHost(i, h, func() {
-		if !w.holdsTerm(h) {
+// runCycle runs one scheduling cycle with random placement.
+func (sim *simulation) runCycle(i int) {
+	h := sim.hosts[i]
+	sim.onHost(i, h, func() {
+		if !sim.holdsTerm(h) {
 			h.runs = make(map[string]*Run)
 			return
 		}
@@ -338,137 +347,139 @@
 			run := h.runs[key]
 			switch {
 			case run != nil:
-				w.executeActions(i, run.Gang, run.Step(w.now, Tick{}))
+				sim.executeActions(i, run.Gang, run.Step(sim.now, Tick{}))
 				if run.Phase == Ended {
 					delete(h.runs, key)
-				} else if h.outSeen || (!w.faultFree && w.rng.Intn(60) == 0) {
-					w.executeActions(i, run.Gang, run.Step(w.now, StopRequest{NextState: job.Queued, Grace: checkpointGrace(rec)}))
+				} else if h.outSeen || (!sim.faultFree && sim.rng.Intn(60) == 0) {
+					sim.executeActions(i, run.Gang, run.Step(sim.now, StopRequest{NextState: job.Queued, Grace: checkpointGrace(rec)}))
 				}
 			case isLive(rec.State):
-				run, actions := adoptRecorded(g, rec, w.now)
+				run, actions := adoptRecorded(g, rec, sim.now)
 				h.runs[key] = run
-				w.executeActions(i, g, actions)
-			case rec.State == job.Queued && w.startPermitted(h, h.term):
+				sim.executeActions(i, g, actions)
+			case rec.State == job.Queued && sim.startPermitted(h, h.term):
 				g.Generation++
 				var workers []string
-				for _, k := range w.rng.Perm(simWorkers)[:rec.Spec.Shape.Tasks] {
+				for _, k := range sim.rng.Perm(simWorkers)[:rec.Spec.Shape.Tasks] {
 					workers = append(workers, fmt.Sprint(k))
 				}
-				run, actions := NewRun(g, workers, w.now)
+				run, actions := NewRun(g, workers, sim.now)
 				h.runs[key] = run
-				w.executeActions(i, g, actions)
+				sim.executeActions(i, g, actions)
 			}
 		}
 	})
 }
 
-// renewRound is one round of a host's renewals. Both hosts renewRound every gang: that
-// only makes it harder for a gang to end.
-func (w *simulation) renewRound(i int) {
-	h := w.hosts[i]
-	w.onHost(i, h, func() {
-		var roster []AssignedGang
+// renewRound runs one round of a host's renewals. Both hosts renew every gang,
+// which can only keep a gang running longer.
+func (sim *simulation) renewRound(i int) {
+	h := sim.hosts[i]
+	sim.onHost(i, h, func() {
+		var assigned []AssignedGang
 		for _, key := range sortedKeys(h.ledgerSeen) {
 			rec := h.ledgerSeen[key]
 			if rec.State == job.Placed || rec.State == job.Running {
 				g := workerapi.Gang{Job: key, Generation: rec.Generation}
-				roster = append(roster, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
+				assigned = append(assigned, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
 			}
 		}
-		h.planner.SetAssigned(w.now, roster)
-		batches, lost := h.planner.PlanRound(w.now)
-		w.applyObservations(i, lost)
-		w.sendBatches(i, batches)
-		w.sendBatches(i, h.planner.PlanSecondPass())
+		h.planner.SetAssigned(sim.now, assigned)
+		batches, lost := h.planner.PlanRound(sim.now)
+		sim.applyObservations(i, lost)
+		sim.sendBatches(i, batches)
+		sim.sendBatches(i, h.planner.PlanSecondPass())
 	})
 }
 
-func (w *simulation) sendBatches(i int, batches []RenewalBatch) {
+func (sim *simulation) sendBatches(i int, batches []RenewalBatch) {
 	for _, b := range batches {
 		k := workerIndex(b.Worker)
-		if w.linksCut[i][k] || w.messageLost() {
+		if sim.linksCut[i][k] || sim.messageLost() {
 			continue
 		}
 		req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: LeaseDuration}
 		if b.Probe {
 			req.Lease = 0
 		}
-		reply := w.workers[k].Renew(req)
-		if !w.messageLost() {
-			w.applyObservations(i, w.hosts[i].planner.HandleReply(w.now, b, reply))
+		reply := sim.workers[k].Renew(req)
+		if !sim.messageLost() {
+			sim.applyObservations(i, sim.hosts[i].planner.HandleReply(sim.now, b, reply))
 		}
 	}
 }
 
-// applyObservations tells the hosts what a renewal of one of them taught.
-func (w *simulation) applyObservations(by int, learned []Observation) {
-	for i, h := range w.hosts {
-		if w.hostsPartitioned && i != by {
+// applyObservations passes the observations of host by to the runs of all hosts that
+// it can reach.
+func (sim *simulation) applyObservations(by int, observations []Observation) {
+	for i, h := range sim.hosts {
+		if sim.hostsPartitioned && i != by {
 			continue
 		}
-		for _, o := range learned {
+		for _, o := range observations {
 			run := h.runs[o.Gang.Job]
-			if run == nil || run.Gang != o.Gang || h.dead || !w.holdsTerm(h) {
+			if run == nil || run.Gang != o.Gang || h.dead || !sim.holdsTerm(h) {
 				continue
 			}
 			e := Event(TasksListed{Worker: o.Worker, Answered: true, Tasks: o.Tasks})
 			if o.Unreachable {
 				e = WorkerLost{Worker: o.Worker}
 			}
-			w.executeActions(i, o.Gang, run.Step(w.now, e))
+			sim.executeActions(i, o.Gang, run.Step(sim.now, e))
 		}
 	}
 }
 
-// toggleFault makes one thing fail or recover.
-func (w *simulation) toggleFault() {
-	i, k := w.rng.Intn(simHosts), w.rng.Intn(simWorkers)
-	switch w.enabledFaults[w.rng.Intn(len(w.enabledFaults))] {
+// toggleFault starts or ends one random fault.
+func (sim *simulation) toggleFault() {
+	i, k := sim.rng.Intn(simHosts), sim.rng.Intn(simWorkers)
+	switch sim.enabledFaults[sim.rng.Intn(len(sim.enabledFaults))] {
 	case 0:
-		w.hosts[i].pausedUntil = w.now.Add(time.Duration(w.rng.Intn(40)) * time.Second)
-	case 1: // the host dies and comes back with nothing
-		w.hosts[i] = &simHost{planner: NewRenewalPlanner(), runs: make(map[string]*Run)}
+		sim.hosts[i].pausedUntil = sim.now.Add(time.Duration(sim.rng.Intn(40)) * time.Second)
+	case 1: // the host crashes and restarts without its state
+		sim.hosts[i] = &simHost{planner: NewRenewalPlanner(), runs: make(map[string]*Run)}
 	case 2:
-		w.linksCut[i][k] = !w.linksCut[i][k]
+		sim.linksCut[i][k] = !sim.linksCut[i][k]
 	case 3:
-		w.workers[k].Restart()
+		sim.workers[k].Restart()
 	case 4:
-		w.platformDown = !w.platformDown
+		sim.platformDown = !sim.platformDown
 	case 5:
-		w.hosts[i].platformCut = !w.hosts[i].platformCut
+		sim.hosts[i].platformCut = !sim.hosts[i].platformCut
 	case 6:
-		w.hostsPartitioned = !w.hostsPartitioned
+		sim.hostsPartitioned = !sim.hostsPartitioned
 	case 7:
-		w.out = !w.out
-		w.outAt = w.now
+		sim.out = !sim.out
+		sim.outAt = sim.now
 	}
 }
 
-func (w *simulation) clearFaults() {
-	w.faultFree, w.platformDown, w.out, w.hostsPartitioned = true, false, false, false
-	w.linksCut = [simHosts][simWorkers]bool{}
-	for _, h := range w.hosts {
+func (sim *simulation) clearFaults() {
+	sim.faultFree, sim.platformDown, sim.out, sim.hostsPartitioned = true, false, false, false
+	sim.linksCut = [simHosts][simWorkers]bool{}
+	for _, h := range sim.hosts {
 		h.platformCut, h.pausedUntil = false, time.Time{}
 	}
 }
 
-func (w *simulation) checkStart(code workerapi.Code) {
+func (sim *simulation) checkStart(code workerapi.Code) {
 	if code != workerapi.OK {
 		return
 	}
-	w.starts++
-	if w.out && w.now.Sub(w.outAt) > maxStartAfterOut {
-		w.t.Fatalf("a task started %v after the failure domain was taken out", w.now.Sub(w.outAt))
+	sim.starts++
+	if sim.out && sim.now.Sub(sim.outAt) > maxStartAfterOut {
+		sim.t.Fatalf("a task started %v after the failure domain was taken out of service", sim.now.Sub(sim.outAt))
 	}
 }
 
-// checkInvariants holds after every event: one generation of a job at a time, and no
-// gang in part for longer than the bound.
-func (w *simulation) checkInvariants() {
+// checkInvariants is called after every event. At most one generation of a job may
+// run at a time, and no gang may run with only some of its tasks for longer than
+// maxPartialDuration.
+func (sim *simulation) checkInvariants() {
 	count := make(map[workerapi.Gang]int)
 	whole := make(map[workerapi.Gang]int)
 	generation := make(map[string]uint64)
-	for _, s := range w.workers {
+	for _, s := range sim.workers {
 		for _, t := range s.Tasks().Tasks {
 			if t.State == workerapi.TaskFinished {
 				whole[t.Gang]++
@@ -477,7 +488,7 @@
 				continue
 			}
 			if g := generation[t.Gang.Job]; g != 0 && g != t.Gang.Generation {
-				w.t.Fatalf("two copies of job %s run: generations %d and %d", t.Gang.Job, g, t.Gang.Generation)
+				sim.t.Fatalf("two generations of job %s run: %d and %d", t.Gang.Job, g, t.Gang.Generation)
 			}
 			generation[t.Gang.Job] = t.Gang.Generation
 			count[t.Gang]++
@@ -485,61 +496,62 @@
 		}
 	}
 	for g, n := range whole {
-		if count[g] == 0 || n == w.ledger[g.Job].Spec.Shape.Tasks {
-			delete(w.partialSince, g)
-		} else if since, known := w.partialSince[g]; !known {
-			w.partialSince[g] = w.now
-		} else if w.now.Sub(since) > maxPartialDuration {
-			w.t.Fatalf("gang %v ran in part for %v", g, w.now.Sub(since))
+		if count[g] == 0 || n == sim.ledger[g.Job].Spec.Shape.Tasks {
+			delete(sim.partialSince, g)
+		} else if since, known := sim.partialSince[g]; !known {
+			sim.partialSince[g] = sim.now
+		} else if sim.now.Sub(since) > maxPartialDuration {
+			sim.t.Fatalf("only some tasks of gang %v ran for %v", g, sim.now.Sub(since))
 		}
 	}
-	for g := range w.partialSince {
+	for g := range sim.partialSince {
 		if whole[g] == 0 {
-			delete(w.partialSince, g)
+			delete(sim.partialSince, g)
 		}
 	}
 }
 
-func (w *simulation) advance(until time.Duration) {
-	end := w.now.Add(until)
-	for w.queue.Len() > 0 && !w.queue[0].at.After(end) {
-		next := heap.Pop(&w.queue).(scheduledCall)
-		w.now = next.at
+func (sim *simulation) advance(d time.Duration) {
+	end := sim.now.Add(d)
+	for sim.queue.Len() > 0 && !sim.queue[0].at.After(end) {
+		next := heap.Pop(&sim.queue).(scheduledCall)
+		sim.now = next.at
 		next.call()
-		w.checkInvariants()
+		sim.checkInvariants()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // TestJobsFinishAfterRandomFaults drives hosts, workers and the platform through
-// random faults, then heals them and expects every job to finish.
+// random faults, then clears the faults and expects every job to finish.
 func TestJobsFinishAfterRandomFaults(t *testing.T) {
 	t.Parallel()
 	starts := 0
 	for seed := range int64(simSeeds) {
-		w := runWithRandomFaults(t, seed)
-		for key, rec := range w.ledger {
+		sim := runWithRandomFaults(t, seed)
+		for key, rec := range sim.ledger {
 			must.EqOp(t, job.Finished, rec.State, must.Sprintf("seed %d: job %s is left as %+v", seed, key, rec))
 		}
-		starts += w.starts
+		starts += sim.starts
 	}
 	t.Logf("%d task starts", starts)
 	must.Greater(t, 1000, starts)
 }
 
 func runWithRandomFaults(t *testing.T, seed int64) *simulation {
-	w := newSimulation(t, seed)
+	sim := newSimulation(t, seed)
 	for range 80 {
-		w.advance(time.Duration(w.rng.Intn(6000)) * time.Millisecond)
-		w.toggleFault()
+		sim.advance(time.Duration(sim.rng.Intn(6000)) * time.Millisecond)
+		sim.toggleFault()
 	}
-	w.clearFaults()
-	w.advance(6 * time.Minute)
-	return w
+	sim.clearFaults()
+	sim.advance(6 * time.Minute)
+	return sim
 }
 
-// The state machine reads no clock and no order of maps: the same messages at
-// the same times give the same records.
+// TestSameSeedGivesSameRecords checks that runs are deterministic: a state machine
+// that read a clock or depended on map order would give different records for the
+// same messages at the same times.
 func TestSameSeedGivesSameRecords(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(5) {
--- a/gang/startable.go
+++ b/gang/startable.go
@@ -18,14 +18,14 @@
 // could start immediately in addition to its own. It returns none when this host
 // does not schedule, or when ctx ends first.
 func (s *Scheduler) StartableJobs(ctx context.Context, records []job.Record) []job.ID {
-	o := startableQuery{records: records, reply: make(chan []job.ID, 1)}
+	q := startableQuery{records: records, reply: make(chan []job.ID, 1)}
 	select {
-	case s.startableQueries <- o:
+	case s.startableQueries <- q:
 	case <-ctx.Done():
 		return nil
 	}
 	select {
-	case ids := <-o.reply:
+	case ids := <-q.reply:
 		return ids
 	case <-ctx.Done():
 		return nil
@@ -33,17 +33,17 @@
 }
 
 // answerStartable answers a query. Only the loop calls it.
-func (s *Scheduler) answerStartable(o startableQuery) {
+func (s *Scheduler) answerStartable(q startableQuery) {
 	now := s.o.Now()
 	own, _, complete := s.o.Ledger.Snapshot()
 	if !complete || s.permit.Check(now, s.term) != nil {
-		o.reply <- nil
+		q.reply <- nil
 		return
 	}
 	snap, _ := s.o.Config.Current()
-	offered := make([]placement.Waiting, 0, len(o.records))
-	for _, rec := range o.records {
+	offered := make([]placement.Waiting, 0, len(q.records))
+	for _, rec := range q.records {
 		offered = append(offered, placementWaiting(rec))
 	}
-	o.reply <- placement.Pull(s.placementView(now, own, snap), offered)
+	q.reply <- placement.Pull(s.placementView(now, own, snap), offered)
 }
--- a/gang/startable_test.go
+++ b/gang/startable_test.go
@@ -10,8 +10,9 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// A scheduler takes offered jobs only while it holds the term, as far as there
-// is room beside its own.
+// TestStartableJobsFitBesideOwnJobs checks that a scheduler returns jobs of other
+// failure domains only while it holds the term, and only as many as fit in addition
+// to its own.
 func TestStartableJobsFitBesideOwnJobs(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
--- a/gang/trace_test.go
+++ b/gang/trace_test.go
@@ -13,8 +13,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// TestWorkerCallsShareTheTraceOfTheSubmission is not parallel: the tracer provider
-// is the process's.
+// TestWorkerCallsShareTheTraceOfTheSubmission is not parallel, since it replaces the
+// process-wide tracer provider.
 func TestWorkerCallsShareTheTraceOfTheSubmission(t *testing.T) {
 	spans := tracetest.NewSpanRecorder()
 	before := otel.GetTracerProvider()
@@ -28,7 +28,7 @@
 	must.NoError(t, err)
 	root.End()
 	c.waitForState(e, s, job.Running)
-	waitUntil(t, "every hop has a span in the caller's trace", func() bool {
+	waitUntil(t, "reserve and start have spans in the caller's trace", func() bool {
 		seen := make(map[string]bool)
 		for _, span := range spans.Ended() {
 			if span.SpanContext().TraceID() == root.SpanContext().TraceID() {
