--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -29,8 +29,8 @@
 
 // Size of one of the 8 failure domains that letter 1 describes.
 const (
-	benchWorkers        = 121  // 970 over 8
-	benchTasks          = 1125 // 9,000 over 8
+	benchWorkers        = 121  // 970 / 8
+	benchTasks          = 1125 // 9,000 / 8
 	benchHosts          = 7
 	benchWorkersPerRack = 6
 	benchQueuedJobs     = 250
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -115,8 +115,8 @@
 			killed := make(chan struct{})
 			var reclaim sync.Once
 			var dead atomic.Bool
-			whole := c.client
-			c.client = stoppableStore{whole, &dead}
+			store := c.client
+			c.client = stoppableStore{store, &dead}
 			one := c.startEntryHost(1, func(o *gang.Options) {
 				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, actAtCall: tc.nth, act: func() bool {
 					dead.Store(true)
@@ -135,7 +135,7 @@
 			<-killed
 			one.term.set(0)
 			one.stop()
-			c.client = whole
+			c.client = store
 			two := c.startEntryHost(2, nil)
 			rec := c.waitForState(two, s, job.Running)
 			must.Eq(t, map[uint64]int{rec.Generation: 2}, c.runningTasks(s))
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestNewSchedulerAdoptsWholeGang(t *testing.T) {
+func TestNewSchedulerAdoptsRunningGang(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 2, nil)
 	s := spec("a", 2)
@@ -173,8 +173,8 @@
 		name string
 		act  func(c *cluster)
 	}{
-		{"known between reserve and start", func(c *cluster) { c.config.edit(takeOut) }},
-		{"cut off from the platform", func(c *cluster) { c.config.setConfirmationAge(3 * time.Second) }},
+		{"taken out between reserve and start", func(c *cluster) { c.config.edit(takeOut) }},
+		{"configuration not confirmed for 3 s", func(c *cluster) { c.config.setConfirmationAge(3 * time.Second) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -196,7 +196,7 @@
 			must.MapEmpty(t, c.runningTasks(s))
 			for _, w := range c.workers {
 				for _, task := range w.Tasks().Tasks { // ended tasks are listed too
-					must.EqOp(t, workerapi.TaskReserved, task.State, must.Sprint("no task was ever started"))
+					must.EqOp(t, workerapi.TaskReserved, task.State, must.Sprint("no task may have been started"))
 				}
 			}
 		})
@@ -219,7 +219,7 @@
 	e := c.startEntryHost(1, nil)
 	c.submit(e, s)
 	rec := c.waitForState(e, s, job.Running)
-	must.EqOp(t, 2, rec.Generation, must.Sprint("the first generation never ran"))
+	must.EqOp(t, 2, rec.Generation, must.Sprint("the first generation must not have run"))
 }
 
 // TestStaleStartIsRefusedAfterHandover pauses a scheduler between its last permit
@@ -243,7 +243,7 @@
 	rec := c.waitForState(two, s, job.Running)
 	must.EqOp(t, 2, rec.Generation)
 	close(thaw)
-	waitUntil(t, "the old scheduler's start messages arrive", func() bool { return paused.answered.Load() == 2 })
+	waitUntil(t, "the old scheduler's start requests arrive", func() bool { return paused.answered.Load() == 2 })
 	one.stop()
 	must.Eq(t, map[uint64]int{2: 2}, c.runningTasks(s))
 }
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -53,14 +53,14 @@
 	sim.advance(30 * time.Minute)
 	must.EqOp(t, before, sim.starts)
 	must.EqOp(t, 0, sim.runningGeneration("o/s/0"))
-	kept := 0
+	unaffected := 0
 	for key, rec := range sim.ledger {
 		if !slices.Contains(rec.Workers, lost.Workers[0]) {
 			must.EqOp(t, rec.Generation, sim.runningGeneration(key))
-			kept++
+			unaffected++
 		}
 	}
-	must.Positive(t, kept)
+	must.Positive(t, unaffected)
 	sim.platformDown = false
 	sim.advance(time.Minute)
 	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
@@ -72,13 +72,13 @@
 	k := workerIndex(sim.ledger["o/s/0"].Workers[0])
 	sim.linksCut[0][k], sim.linksCut[1][k] = true, true
 	sim.advance(LeaseDuration - RenewInterval)
-	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("its lease has not lapsed"))
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("its lease has not expired"))
 	sim.advance(2 * time.Minute)
-	again := sim.runningGeneration("o/s/0")
-	must.Greater(t, 1, again)
+	restarted := sim.runningGeneration("o/s/0")
+	must.Greater(t, 1, restarted)
 	sim.linksCut[0][k], sim.linksCut[1][k] = false, false
 	sim.advance(time.Minute)
-	must.EqOp(t, again, sim.runningGeneration("o/s/0"))
+	must.EqOp(t, restarted, sim.runningGeneration("o/s/0"))
 }
 
 // TestGangRestartsOnlyAfterPartitionedRenewerIsFenced guards against two running
@@ -91,7 +91,7 @@
 	sim.hosts[1].platformCut, sim.hostsPartitioned = true, true
 	sim.linksCut[0][k] = true
 	sim.advance(5 * time.Minute)
-	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("the other host goes on renewing"))
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("the other host still renews its lease"))
 	sim.hostsPartitioned = false
 	sim.advance(5 * time.Minute)
 	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -45,13 +45,13 @@
 	return all
 }
 
-func (r *renewer) callRelease(ctx context.Context, address string, g workerapi.Gang) bool {
+func (r *renewer) callRelease(ctx context.Context, peerAddress string, g workerapi.Gang) bool {
 	if r.o.Peers == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*peerCallTimeout)
 	defer cancel()
-	return r.o.Peers.Call(ctx, address, methodRelease, g, &Ack{}) == nil
+	return r.o.Peers.Call(ctx, peerAddress, methodRelease, g, &Ack{}) == nil
 }
 
 // Ack is the reply of a peer method that returns no data.
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -96,17 +96,17 @@
 	// Accessed only by the loop.
 	term           uint64
 	runs           map[string]*trackedRun
-	wakeAt         time.Time
+	wakeAt         time.Time             // of the next planned cycle; zero: none
 	retries        map[string]startRetry // backoff by key of the jobs whose last start failed
 	estimates      *placement.Estimates
 	quarantine     *placement.Quarantine
 	estimatesState estimatesState
 
 	mu           sync.Mutex
-	endWrites    map[string]bool      // keys of queued jobs whose end is being written
-	unanswered   map[string]time.Time // worker to the time of its last unanswered call
-	observations map[workerapi.Gang]map[string]Observation
-	waitReasons  map[string]string // job key to the reason it waits
+	endWrites    map[string]bool                           // keys of queued jobs whose end is being written
+	unanswered   map[string]time.Time                      // worker to the time of its last unanswered call
+	observations map[workerapi.Gang]map[string]Observation // by gang and worker
+	waitReasons  map[string]string                         // job key to the reason it waits
 	deficits     []placement.Deficit
 
 	metrics schedulerMetrics
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -476,13 +476,13 @@
 // run at a time, and no gang may run with only some of its tasks for longer than
 // maxPartialDuration.
 func (sim *simulation) checkInvariants() {
-	count := make(map[workerapi.Gang]int)
-	whole := make(map[workerapi.Gang]int)
+	running := make(map[workerapi.Gang]int)
+	runningOrFinished := make(map[workerapi.Gang]int)
 	generation := make(map[string]uint64)
 	for _, s := range sim.workers {
 		for _, t := range s.Tasks().Tasks {
 			if t.State == workerapi.TaskFinished {
-				whole[t.Gang]++
+				runningOrFinished[t.Gang]++
 			}
 			if t.State != workerapi.TaskRunning {
 				continue
@@ -491,12 +491,12 @@
 				sim.t.Fatalf("two generations of job %s run: %d and %d", t.Gang.Job, g, t.Gang.Generation)
 			}
 			generation[t.Gang.Job] = t.Gang.Generation
-			count[t.Gang]++
-			whole[t.Gang]++
+			running[t.Gang]++
+			runningOrFinished[t.Gang]++
 		}
 	}
-	for g, n := range whole {
-		if count[g] == 0 || n == sim.ledger[g.Job].Spec.Shape.Tasks {
+	for g, n := range runningOrFinished {
+		if running[g] == 0 || n == sim.ledger[g.Job].Spec.Shape.Tasks {
 			delete(sim.partialSince, g)
 		} else if since, known := sim.partialSince[g]; !known {
 			sim.partialSince[g] = sim.now
@@ -505,7 +505,7 @@
 		}
 	}
 	for g := range sim.partialSince {
-		if whole[g] == 0 {
+		if runningOrFinished[g] == 0 {
 			delete(sim.partialSince, g)
 		}
 	}
