--- a/gang/assignment.go
+++ b/gang/assignment.go
@@ -115,12 +115,12 @@
 	if rack == "" {
 		rack = worker
 	}
-	best, top := "", uint64(0)
+	bestHost, bestHash := "", uint64(0)
 	for _, h := range a.hosts {
 		sum := xxhash.Sum64String(h + "/" + rack)
-		if best == "" || sum > top || (sum == top && h < best) {
-			best, top = h, sum
+		if bestHost == "" || sum > bestHash || (sum == bestHash && h < bestHost) {
+			bestHost, bestHash = h, sum
 		}
 	}
-	return best == a.self
+	return bestHost == a.self
 }
--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -152,10 +152,10 @@
 	for _, tasks := range []int{1, 9, 34} {
 		b.Run(fmt.Sprintf("gang=%d", tasks), func(b *testing.B) {
 			d := newBenchDomain(b, tasks)
-			var all, most, messages, mostMessages float64
+			var totalBytes, maxBytes, totalMessages, maxMessages float64
 			b.ResetTimer()
 			for range b.N {
-				all, most, messages, mostMessages = 0, 0, 0, 0
+				totalBytes, maxBytes, totalMessages, maxMessages = 0, 0, 0, 0
 				for h := range benchHosts {
 					d.view.Self = d.view.Hosts[h]
 					r := newRenewer(d.options(), func(Observation) {})
@@ -163,19 +163,19 @@
 					bytes, sent := d.bytes.Load(), r.renewalsSent.Get()
 					r.renewRound(context.Background())
 					n, m := float64(d.bytes.Load()-bytes), float64(r.renewalsSent.Get()-sent)
-					all, most = all+n, max(most, n)
-					messages, mostMessages = messages+m, max(mostMessages, m)
+					totalBytes, maxBytes = totalBytes+n, max(maxBytes, n)
+					totalMessages, maxMessages = totalMessages+m, max(maxMessages, m)
 				}
 			}
 			b.StopTimer()
 			rounds := float64(2 * benchHosts * b.N)
 			b.ReportMetric(b.Elapsed().Seconds()*1000/rounds, "ms/round")
-			per := RenewInterval.Seconds()
-			b.ReportMetric(most/per, "B/s-busiest-host")
-			b.ReportMetric(all/per/benchHosts, "B/s-host")
-			b.ReportMetric(all/per/benchWorkers, "B/s-worker")
-			b.ReportMetric(mostMessages/per, "messages/s-busiest-host")
-			b.ReportMetric(messages/per/benchWorkers, "messages/s-worker")
+			seconds := RenewInterval.Seconds()
+			b.ReportMetric(maxBytes/seconds, "B/s-busiest-host")
+			b.ReportMetric(totalBytes/seconds/benchHosts, "B/s-host")
+			b.ReportMetric(totalBytes/seconds/benchWorkers, "B/s-worker")
+			b.ReportMetric(maxMessages/seconds, "messages/s-busiest-host")
+			b.ReportMetric(totalMessages/seconds/benchWorkers, "messages/s-worker")
 		})
 	}
 }
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -84,9 +84,9 @@
 	c.t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-func waitUntil(t *testing.T, what string, is func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.Timeout(30*time.Second), wait.Gap(10*time.Millisecond), wait.BoolFunc(is)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.Timeout(30*time.Second), wait.Gap(10*time.Millisecond), wait.BoolFunc(condition)), must.Sprint(description))
 }
 
 // TestNewSchedulerRestartsGangAfterKill stops a scheduler between two calls to
--- a/gang/metrics.go
+++ b/gang/metrics.go
@@ -8,7 +8,7 @@
 	gangsPlaced    *metrics.Counter
 	gangsStarted   *metrics.Counter
 	gangsAdopted   *metrics.Counter
-	gangsBroken    *metrics.Counter
+	gangsBroken    *metrics.Counter // runs that ended in a failure or back in the queue
 	permitsRefused *metrics.Counter
 }
 
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -104,7 +104,7 @@
 // PlanRound returns the requests of one round, probes before renewals and each
 // ordered by worker, and the gangs that are abandoned because a worker confirmed
 // nothing for a whole lease.
-func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, lost []Observation) {
+func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, unreachable []Observation) {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
 		leases := r.gangs[g]
@@ -113,12 +113,12 @@
 		}
 		if w := leases.expiredWorker(now); w != "" {
 			leases.abandoned = true
-			lost = append(lost, Observation{Gang: g, Worker: w, Unreachable: true})
+			unreachable = append(unreachable, Observation{Gang: g, Worker: w, Unreachable: true})
 			continue
 		}
 		set.add(g, leases)
 	}
-	return set.batches(), lost
+	return set.batches(), unreachable
 }
 
 // PlanSecondPass returns the round's second batch of requests, after the answers
--- a/gang/run.go
+++ b/gang/run.go
@@ -157,9 +157,9 @@
 	return nil
 }
 
-func (r *Run) allMembers(is func(*member) bool) bool {
+func (r *Run) allMembers(matches func(*member) bool) bool {
 	for _, m := range r.members {
-		if !is(m) {
+		if !matches(m) {
 			return false
 		}
 	}
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -39,19 +39,19 @@
 // callQueue is a heap of calls in the order of their times.
 type callQueue []scheduledCall
 
-func (l callQueue) Len() int { return len(l) }
-func (l callQueue) Less(i, j int) bool {
-	if l[i].at.Equal(l[j].at) {
-		return l[i].seq < l[j].seq
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
+	if q[i].at.Equal(q[j].at) {
+		return q[i].seq < q[j].seq
 	}
-	return l[i].at.Before(l[j].at)
+	return q[i].at.Before(q[j].at)
 }
-func (l callQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *callQueue) Push(x any)   { *l = append(*l, x.(scheduledCall)) }
-func (l *callQueue) Pop() any {
-	old := *l
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*l = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
