--- a/gang/roster.go
+++ b/gang/assignment.go
@@ -11,29 +11,30 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// roster lists the gangs of this host's share. A host that has never read the
-// ledger asks the workers instead.
-func (r *renewer) roster(ctx context.Context) (out []RosterGang) {
+// assignedGangs returns the gangs that are assigned to this host, as read from
+// the ledger. A host that has never read the ledger asks the workers instead.
+func (r *renewer) assignedGangs(ctx context.Context) (out []AssignedGang) {
 	records, _, complete := r.o.Ledger.Snapshot()
 	if !complete {
-		return r.listed(ctx)
+		return r.gangsFromWorkers(ctx)
 	}
-	share := newShares(r.o)
+	assignment := newGangAssignment(r.o)
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
 		if (rec.State != job.Placed && rec.State != job.Running) || len(rec.Workers) == 0 {
 			continue
 		}
-		if share.mine(rec.Workers[0]) {
+		if assignment.assignedToSelf(rec.Workers[0]) {
 			g := workerapi.Gang{Job: key, Generation: rec.Generation}
-			out = append(out, RosterGang{Gang: g, Workers: distinct(rec.Workers)})
+			out = append(out, AssignedGang{Gang: g, Workers: distinct(rec.Workers)})
 		}
 	}
 	return out
 }
 
-// listed builds the roster from what the workers run: whole gangs only.
-func (r *renewer) listed(ctx context.Context) []RosterGang {
+// gangsFromWorkers returns the assigned gangs by the workers' task lists. It
+// leaves out gangs of which not every task is running or finished.
+func (r *renewer) gangsFromWorkers(ctx context.Context) []AssignedGang {
 	var mu sync.Mutex
 	found := make(map[workerapi.Gang]map[int]string)
 	size := make(map[workerapi.Gang]int)
@@ -60,17 +61,17 @@
 		})
 	}
 	_ = g.Wait()
-	share := newShares(r.o)
-	var out []RosterGang
+	assignment := newGangAssignment(r.o)
+	var out []AssignedGang
 	for gang, tasks := range found {
-		if len(tasks) != size[gang] || !share.mine(tasks[0]) {
+		if len(tasks) != size[gang] || !assignment.assignedToSelf(tasks[0]) {
 			continue
 		}
 		workers := make([]string, len(tasks))
 		for i := range workers {
 			workers[i] = tasks[i]
 		}
-		out = append(out, RosterGang{Gang: gang, Workers: distinct(workers)})
+		out = append(out, AssignedGang{Gang: gang, Workers: distinct(workers)})
 	}
 	return out
 }
@@ -87,38 +88,39 @@
 	return out
 }
 
-// shares splits gangs over the live entry hosts by the rack of their first
-// worker, so that most workers hear from one entry host only.
-type shares struct {
+// gangAssignment distributes gangs over the live entry hosts by the rack of their
+// first worker, so that most workers get renewals from one entry host only.
+type gangAssignment struct {
 	self  string
 	hosts []string
 	racks map[string]string // worker to rack
 }
 
-func newShares(o Options) shares {
+func newGangAssignment(o Options) gangAssignment {
 	view := o.Membership.View()
-	sh := shares{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
+	a := gangAssignment{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
 	for _, h := range view.Neighbours() {
-		sh.hosts = append(sh.hosts, h.Name)
+		a.hosts = append(a.hosts, h.Name)
 	}
 	for _, h := range view.Workers(o.FailureDomain) {
-		sh.racks[h.Name] = h.Rack
+		a.racks[h.Name] = h.Rack
 	}
-	return sh
+	return a
 }
 
-// mine tells whether this host has the highest rendezvous hash for the rack.
-func (sh shares) mine(worker string) bool {
-	rack := sh.racks[worker]
+// assignedToSelf reports whether this host has the highest rendezvous hash for the
+// worker's rack.
+func (a gangAssignment) assignedToSelf(worker string) bool {
+	rack := a.racks[worker]
 	if rack == "" {
 		rack = worker
 	}
-	best, top := "", uint64(0)
-	for _, h := range sh.hosts {
+	bestHost, bestHash := "", uint64(0)
+	for _, h := range a.hosts {
 		sum := xxhash.Sum64String(h + "/" + rack)
-		if best == "" || sum > top || (sum == top && h < best) {
-			best, top = h, sum
+		if bestHost == "" || sum > bestHash || (sum == bestHash && h < bestHost) {
+			bestHost, bestHash = h, sum
 		}
 	}
-	return best == sh.self
+	return bestHost == a.self
 }
--- a/gang/client.go
+++ b/gang/client.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	workerTimeout  = time.Second // of one message to a worker
-	maxWorkerReply = 1 << 20     // bytes
-	idlePerWorker  = 2           // connections
+	workerCallTimeout     = time.Second // of one call to a worker
+	maxWorkerReplyBytes   = 1 << 20     // bytes
+	maxIdleConnsPerWorker = 2           // connections
 )
 
-// WorkerCaller sends one message to the worker at an address. reply is a
-// pointer to the answer; args is nil for a listing. It is safe for concurrent use.
+// WorkerCaller calls the workerapi path of the worker at address. args is the
+// request, nil for workerapi.PathTasks; the answer is decoded into reply, a
+// pointer. Implementations are safe for concurrent use.
 type WorkerCaller interface {
 	Call(ctx context.Context, address, path string, args, reply any) error
 }
 
-// HTTPWorkers speaks workerapi over HTTP.
-type HTTPWorkers struct {
+// HTTPWorkerCaller is a WorkerCaller over HTTP.
+type HTTPWorkerCaller struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTPWorkers returns a caller with its own connections.
-func NewHTTPWorkers() *HTTPWorkers {
+// NewHTTPWorkerCaller returns an HTTPWorkerCaller with its own connection pool.
+func NewHTTPWorkerCaller() *HTTPWorkerCaller {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: workerTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerWorker,
+		DialContext:         (&net.Dialer{Timeout: workerCallTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConnsPerWorker,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &HTTPWorkers{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
+	return &HTTPWorkerCaller{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerCallTimeout}
 }
 
-// Close drops idle connections.
-func (h *HTTPWorkers) Close() { h.client.CloseIdleConnections() }
+// Close closes idle connections.
+func (h *HTTPWorkerCaller) Close() { h.client.CloseIdleConnections() }
 
 // Call implements WorkerCaller.
-func (h *HTTPWorkers) Call(ctx context.Context, address, path string, args, reply any) error {
+func (h *HTTPWorkerCaller) Call(ctx context.Context, address, path string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
-	req, err := newRequest(ctx, address, path, args)
+	req, err := newWorkerRequest(ctx, address, path, args)
 	if err != nil {
 		return err
 	}
@@ -59,7 +60,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWorkerReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWorkerReplyBytes))
 	if err != nil {
 		return errors.Wrap(err, "reading the worker's answer")
 	}
@@ -69,7 +70,7 @@
 	return errors.Wrap(json.Unmarshal(body, reply), "reading the worker's answer")
 }
 
-func newRequest(ctx context.Context, address, path string, args any) (*http.Request, error) {
+func newWorkerRequest(ctx context.Context, address, path string, args any) (*http.Request, error) {
 	target := "http://" + address + path
 	if path == workerapi.PathTasks {
 		return http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -17,21 +17,22 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// quietWorld has no random faults, and its first host holds the term.
-func quietWorld(t *testing.T) *world {
-	w := newWorld(t, 1)
-	w.calm = true
-	w.runTime = time.Hour
-	w.hosts[1].cut = true
-	w.run(3 * time.Second)
-	w.hosts[1].cut = false
-	w.run(2 * time.Second)
-	return w
+// newFaultFreeSimulation returns a simulation without random faults, in which the
+// first host holds the term.
+func newFaultFreeSimulation(t *testing.T) *simulation {
+	sim := newSimulation(t, 1)
+	sim.faultFree = true
+	sim.runTime = time.Hour
+	sim.hosts[1].platformCut = true
+	sim.advance(3 * time.Second)
+	sim.hosts[1].platformCut = false
+	sim.advance(2 * time.Second)
+	return sim
 }
 
-// running returns the generation that runs of a job; 0: none.
-func (w *world) running(key string) uint64 {
-	for _, s := range w.workers {
+// runningGeneration returns the job's generation that runs; 0: none.
+func (sim *simulation) runningGeneration(key string) uint64 {
+	for _, s := range sim.workers {
 		for _, t := range s.Tasks().Tasks {
 			if t.State == workerapi.TaskRunning && t.Gang.Job == key {
 				return t.Gang.Generation
@@ -41,58 +42,59 @@
 	return 0
 }
 
-func TestOutageStartsNothingAndStopsNothing(t *testing.T) {
+func TestPlatformOutageStartsAndStopsNoGang(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
-	lost := w.ledger["o/s/0"]
-	w.down = true
-	w.run(termLength + 5*time.Second) // no scheduler any more
-	w.workers[number(lost.Workers[0])].Restart()
-	before := w.starts
-	w.run(30 * time.Minute)
-	must.EqOp(t, before, w.starts)
-	must.EqOp(t, 0, w.running("o/s/0"))
-	kept := 0
-	for key, rec := range w.ledger {
+	sim := newFaultFreeSimulation(t)
+	lost := sim.ledger["o/s/0"]
+	sim.platformDown = true
+	sim.advance(termDuration + 5*time.Second) // the term has ended, so that no host schedules
+	sim.workers[workerIndex(lost.Workers[0])].Restart()
+	before := sim.starts
+	sim.advance(30 * time.Minute)
+	must.EqOp(t, before, sim.starts)
+	must.EqOp(t, 0, sim.runningGeneration("o/s/0"))
+	unaffected := 0
+	for key, rec := range sim.ledger {
 		if !slices.Contains(rec.Workers, lost.Workers[0]) {
-			must.EqOp(t, rec.Generation, w.running(key))
-			kept++
+			must.EqOp(t, rec.Generation, sim.runningGeneration(key))
+			unaffected++
 		}
 	}
-	must.Positive(t, kept)
-	w.down = false
-	w.run(time.Minute)
-	must.Greater(t, 1, w.running("o/s/0"))
+	must.Positive(t, unaffected)
+	sim.platformDown = false
+	sim.advance(time.Minute)
+	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
 }
 
-func TestFrozenWorkersGangRestartsOnceItsLeaseLapsed(t *testing.T) {
+func TestUnreachableGangRestartsAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
-	k := number(w.ledger["o/s/0"].Workers[0])
-	w.links[0][k], w.links[1][k] = true, true
-	w.run(Lease - RenewEvery)
-	must.EqOp(t, 1, w.running("o/s/0"), must.Sprint("its lease has not lapsed"))
-	w.run(2 * time.Minute)
-	again := w.running("o/s/0")
-	must.Greater(t, 1, again)
-	w.links[0][k], w.links[1][k] = false, false
-	w.run(time.Minute)
-	must.EqOp(t, again, w.running("o/s/0"))
+	sim := newFaultFreeSimulation(t)
+	k := workerIndex(sim.ledger["o/s/0"].Workers[0])
+	sim.linksCut[0][k], sim.linksCut[1][k] = true, true
+	sim.advance(LeaseDuration - RenewInterval)
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("its lease has not expired"))
+	sim.advance(2 * time.Minute)
+	restarted := sim.runningGeneration("o/s/0")
+	must.Greater(t, 1, restarted)
+	sim.linksCut[0][k], sim.linksCut[1][k] = false, false
+	sim.advance(time.Minute)
+	must.EqOp(t, restarted, sim.runningGeneration("o/s/0"))
 }
 
-// TestCutOffRenewerIsFenced has a host that knows only an old ledger and still
-// reaches a worker that the scheduler can not reach.
-func TestCutOffRenewerIsFenced(t *testing.T) {
+// TestGangRestartsOnlyAfterPartitionedRenewerIsFenced guards against two running
+// generations: a host that reads only an old ledger can still renew on a worker
+// that the scheduler cannot reach, so the scheduler must fence that host first.
+func TestGangRestartsOnlyAfterPartitionedRenewerIsFenced(t *testing.T) {
 	t.Parallel()
-	w := quietWorld(t)
-	k := number(w.ledger["o/s/0"].Workers[0])
-	w.hosts[1].cut, w.apart = true, true
-	w.links[0][k] = true
-	w.run(5 * time.Minute)
-	must.EqOp(t, 1, w.running("o/s/0"), must.Sprint("the other host goes on renewing"))
-	w.apart = false
-	w.run(5 * time.Minute)
-	must.Greater(t, 1, w.running("o/s/0"))
+	sim := newFaultFreeSimulation(t)
+	k := workerIndex(sim.ledger["o/s/0"].Workers[0])
+	sim.hosts[1].platformCut, sim.hostsPartitioned = true, true
+	sim.linksCut[0][k] = true
+	sim.advance(5 * time.Minute)
+	must.EqOp(t, 1, sim.runningGeneration("o/s/0"), must.Sprint("the other host still renews its lease"))
+	sim.hostsPartitioned = false
+	sim.advance(5 * time.Minute)
+	must.Greater(t, 1, sim.runningGeneration("o/s/0"))
 }
 
 // fixedView is a membership.Source that never changes.
@@ -100,9 +102,10 @@
 
 func (f *fixedView) View() *membership.View { return &f.view }
 
-// TestHostBootedInAnOutageRenewsWholeGangs has an entry host that never read
-// the ledger: it keeps what the workers run, but no gang in part.
-func TestHostBootedInAnOutageRenewsWholeGangs(t *testing.T) {
+// TestHostStartedDuringOutageRenewsOnlyWholeGangs starts an entry host that never
+// read the ledger. It must renew the gangs that the workers list, but none of
+// which only some tasks run.
+func TestHostStartedDuringOutageRenewsOnlyWholeGangs(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_000_000, 0)
 	view := &fixedView{membership.View{Self: kvstore.Host{Name: "entry", Kind: kvstore.EntryHost, FailureDomain: "fd1"}}}
@@ -116,15 +119,15 @@
 		view.view.Hosts = append(view.view.Hosts, kvstore.Host{Name: string(rune('0' + i)), Kind: kvstore.Worker,
 			FailureDomain: "fd1", Rack: "r", Address: strings.TrimPrefix(s.URL, "http://")})
 		for _, g := range []workerapi.Gang{whole, part}[:2-i] {
-			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, Hold: Hold})
-			w.Start(workerapi.StartRequest{Gang: g, Tasks: []int{i}, Size: 2, Lease: Lease})
+			w.Reserve(workerapi.ReserveRequest{Gang: g, Tasks: []int{i}, AcceleratorsPerTask: 1, TTL: ReservationTTL})
+			w.Start(workerapi.StartRequest{Gang: g, Tasks: []int{i}, Size: 2, Lease: LeaseDuration})
 		}
 	}
 	o := Options{FailureDomain: "fd1", Membership: view, Now: func() time.Time { return now },
 		Ledger: ledger.New(ledger.Options{}).Jobs("fd1")}.withDefaults()
 	r := newRenewer(o, func(Observation) {})
-	now = now.Add(Lease - time.Second)
-	r.renewOnce(context.Background())
+	now = now.Add(LeaseDuration - time.Second)
+	r.renewRound(context.Background())
 	now = now.Add(2 * time.Second)
 	var running []workerapi.Gang
 	for _, w := range workers {
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -19,74 +19,76 @@
 	methodSummary = peerService + ".Summary"
 )
 
-// release promises that this host renews the gang no more, and waits for
-// messages already under way.
-func (r *renewer) release(g workerapi.Gang) {
+// stopRenewing makes this host stop renewing the gang's leases for good. It
+// returns once no renewal of the current round is in flight.
+func (r *renewer) stopRenewing(g workerapi.Gang) {
 	r.mu.Lock()
-	r.core.Release(r.o.Now(), g)
+	r.planner.StopRenewing(r.o.Now(), g)
 	r.mu.Unlock()
-	r.round.Lock() // waits for the present round
-	defer r.round.Unlock()
+	r.roundMu.Lock() // waits for the current round
+	defer r.roundMu.Unlock()
 }
 
-// fence gets that promise from every entry host that may renew the gang, the
-// silent ones included: one that does not answer may still renew.
-func (r *renewer) fence(ctx context.Context, g workerapi.Gang) bool {
-	r.release(g)
+// fenceGang makes every entry host of the failure domain stop renewing the gang,
+// and reports whether all confirmed it. Unresponsive hosts count as well, since
+// a host that does not answer may still renew.
+func (r *renewer) fenceGang(ctx context.Context, g workerapi.Gang) bool {
+	r.stopRenewing(g)
 	view := r.o.Membership.View()
 	all := true
 	for _, h := range view.Hosts {
 		if h.Kind != kvstore.EntryHost || h.FailureDomain != r.o.FailureDomain || h.Name == view.Self.Name {
 			continue
 		}
-		all = all && r.askRelease(ctx, h.PeerAddress, g)
+		all = all && r.callRelease(ctx, h.PeerAddress, g)
 	}
 	return all
 }
 
-func (r *renewer) askRelease(ctx context.Context, address string, g workerapi.Gang) bool {
+func (r *renewer) callRelease(ctx context.Context, peerAddress string, g workerapi.Gang) bool {
 	if r.o.Peers == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*peerCallTimeout)
 	defer cancel()
-	return r.o.Peers.Call(ctx, address, methodRelease, g, &Ack{}) == nil
+	return r.o.Peers.Call(ctx, peerAddress, methodRelease, g, &Ack{}) == nil
 }
 
-// Ack is the answer of a peer method that returns nothing else.
+// Ack is the reply of a peer method that returns no data.
 type Ack struct{ OK bool }
 
-// HoldReply is the answer to a question why a job waits.
+// HoldReply says why a queued job waits. Known is false when the answering host
+// has no reason for the job.
 type HoldReply struct {
 	Reason string
 	Known  bool
 }
 
-// RegisterPeer offers the renewal and explanation methods to other entry hosts.
+// RegisterPeer registers the methods that other entry hosts call.
 func (s *Scheduler) RegisterPeer(server *peer.Server) error {
 	return server.Register(peerService, &peerMethods{s})
 }
 
 type peerMethods struct{ s *Scheduler }
 
-// Release promises to renew a gang no more.
+// Release makes this host stop renewing a gang's leases for good.
 func (p *peerMethods) Release(g workerapi.Gang, reply *Ack) error {
-	p.s.renewer.release(g)
+	p.s.renewer.stopRenewing(g)
 	reply.OK = true
 	return nil
 }
 
-// Observe takes what another entry host's renewals taught.
-func (p *peerMethods) Observe(learned []Observation, reply *Ack) error {
-	for _, o := range learned {
+// Observe stores observations of another entry host's renewals.
+func (p *peerMethods) Observe(observations []Observation, reply *Ack) error {
+	for _, o := range observations {
 		p.s.Observe(o)
 	}
 	reply.OK = true
 	return nil
 }
 
-// Hold tells why a queued job waits, if this host schedules.
+// Hold returns why a queued job waits, if this host schedules the failure domain.
 func (p *peerMethods) Hold(id job.ID, reply *HoldReply) error {
-	reply.Reason, reply.Known = p.s.Hold(id)
+	reply.Reason, reply.Known = p.s.WaitReason(id)
 	return nil
 }
--- a/gang/permit.go
+++ b/gang/permit.go
@@ -8,19 +8,19 @@
 	"github.com/cyclamentray/cyclamentray/election"
 )
 
-// PermitAge is the oldest confirmation of the configuration that still allows
-// a start, measured from before the platform was asked.
-const PermitAge = 2 * time.Second
+// MaxConfigAge is the maximum age of the configuration's last confirmation at
+// which a start is permitted. The age counts from before the platform was asked.
+const MaxConfigAge = 2 * time.Second
 
-// Permit tells whether a start message may be sent at this moment.
+// Permit decides whether this host may send a start request now.
 type Permit struct {
 	FailureDomain string
 	Config        config.Source
 	Election      election.Holder
 }
 
-// Check returns nil when a start under the term may be sent now. It is asked
-// again just before each start message.
+// Check returns nil when a start under the term may be sent now. It is called
+// again immediately before each start request.
 func (p Permit) Check(now time.Time, term uint64) error {
 	current, until, held := p.Election.Term()
 	if !held || current != term || !now.Before(until) {
@@ -28,7 +28,7 @@
 			"this host no longer schedules the failure domain", "wait for the new scheduler to take over")
 	}
 	snap, confirmed := p.Config.Current()
-	if now.Sub(confirmed) > PermitAge {
+	if now.Sub(confirmed) > MaxConfigAge {
 		return apierr.New(apierr.Unavailable,
 			"the configuration was not confirmed lately", "wait until the platform answers again")
 	}
--- a/gang/records.go
+++ b/gang/records.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// recordTimeout bounds one write of a run's state to the ledger.
-	recordTimeout = 4 * time.Second
-	// defaultMaxFailures applies when the template gives none.
+	// recordWriteTimeout limits one write of a job's record to the ledger.
+	recordWriteTimeout = 4 * time.Second
+	// defaultMaxFailures applies when the job template sets no maximum.
 	defaultMaxFailures = 3
 )
 
 // errSuperseded means that the ledger has the job at another generation or in
-// a state from which the wanted one does not follow.
-var errSuperseded = errors.New("gang: the ledger has the job elsewhere; drop this run")
+// a state that cannot change to the requested one.
+var errSuperseded = errors.New("gang: run is superseded by the job's record in the ledger")
 
-// write brings the ledger to the run's state.
-func (e effect) write(ctx context.Context, a Record) Recorded {
-	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+// writeState writes the run's state to the ledger.
+func (c actionCall) writeState(ctx context.Context, a RecordState) Recorded {
+	ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 	defer cancel()
-	rec := e.record
-	now := e.s.o.Now()
-	limit := maxFailures(e.s.o.Config, rec.Spec)
-	_, err := e.s.o.Ledger.Update(ctx, e.gang.Job, func(old job.Record, found bool) (job.Record, bool, error) {
+	rec := c.record
+	now := c.s.o.Now()
+	limit := maxFailures(c.s.o.Config, rec.Spec)
+	_, err := c.s.o.Ledger.Update(ctx, c.gang.Job, func(old job.Record, found bool) (job.Record, bool, error) {
 		next, err := transition(old, found, rec, a, limit, now)
 		return next, found, err
 	})
@@ -45,14 +45,15 @@
 	return defaultMaxFailures
 }
 
-// transition returns the record after a run's step. It gives the same answer
-// when the step is already in old, as a lost answer may have it written twice.
-func transition(old job.Record, found bool, rec job.Record, a Record, limit int, now time.Time) (job.Record, error) {
+// transition returns the record after a run's change of state. It is idempotent,
+// since a write whose answer was lost is repeated: when old already has the
+// state, it returns old.
+func transition(old job.Record, found bool, rec job.Record, a RecordState, limit int, now time.Time) (job.Record, error) {
 	if !found {
 		return old, errSuperseded
 	}
 	if a.State == job.Placed {
-		return place(old, rec, now)
+		return placedRecord(old, rec, now)
 	}
 	if old.Generation != rec.Generation {
 		return old, errSuperseded
@@ -60,7 +61,7 @@
 	if old.State == a.State || (a.State == job.Queued && old.State.Terminal()) {
 		return old, nil
 	}
-	if !live(old.State) {
+	if !isLive(old.State) {
 		return old, errSuperseded
 	}
 	next := old
@@ -74,14 +75,14 @@
 	case a.State == job.Stopping:
 		next.SetState(job.Stopping, a.Reason, now)
 	case a.State == job.Queued:
-		requeue(&next, a, limit, now)
+		requeueRecord(&next, a, limit, now)
 	default:
 		next.SetState(a.State, a.Reason, now)
 	}
 	return next, nil
 }
 
-func place(old, rec job.Record, now time.Time) (job.Record, error) {
+func placedRecord(old, rec job.Record, now time.Time) (job.Record, error) {
 	if old.State == job.Placed && old.Generation == rec.Generation && old.Term == rec.Term {
 		return old, nil
 	}
@@ -96,13 +97,14 @@
 	return next, nil
 }
 
-// requeue lets a job run again, unless it was cancelled or failed too often.
-func requeue(next *job.Record, a Record, limit int, now time.Time) {
+// requeueRecord puts a job back in the queue. It ends the job instead when it was
+// cancelled, failed for good or failed too often.
+func requeueRecord(next *job.Record, a RecordState, limit int, now time.Time) {
 	if a.Failed {
 		next.Failures++
-		next.Avoid = append(append([]string(nil), next.Avoid...), a.Suspect...)
+		next.Avoid = append(append([]string(nil), next.Avoid...), a.SuspectWorkers...)
 	}
-	if a.Saved {
+	if a.Checkpointed {
 		next.Checkpointed = now
 	}
 	next.Workers = nil
@@ -110,8 +112,8 @@
 	switch {
 	case next.CancelBy != "":
 		next.SetState(job.Cancelled, "cancelled by "+next.CancelBy, now)
-	case a.Fatal != "":
-		next.SetState(job.Failed, a.Fatal, now)
+	case a.FatalReason != "":
+		next.SetState(job.Failed, a.FatalReason, now)
 	case a.Failed && next.Failures >= limit:
 		next.SetState(job.Failed, "it failed too often; last: "+a.Reason, now)
 	default:
@@ -119,15 +121,15 @@
 	}
 }
 
-// end records the end of a job that waits in the queue.
-func (s *Scheduler) end(ctx context.Context, key string, state job.State, reason string) {
-	if !s.claimWrite(key) {
+// endQueued writes the end of a queued job to the ledger.
+func (s *Scheduler) endQueued(ctx context.Context, key string, state job.State, reason string) {
+	if !s.beginEndWrite(key) {
 		return
 	}
 	now := s.o.Now()
-	s.tasks.Go(func() {
-		defer s.releaseWrite(key)
-		ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	s.ioCalls.Go(func() {
+		defer s.finishEndWrite(key)
+		ctx, cancel := context.WithTimeout(ctx, recordWriteTimeout)
 		defer cancel()
 		_, err := s.o.Ledger.Update(ctx, key, func(old job.Record, found bool) (job.Record, bool, error) {
 			if !found || old.State != job.Queued {
@@ -137,24 +139,26 @@
 			return old, true, nil
 		})
 		if err != nil {
-			s.o.Logger.Warn("a queued job's end was not recorded; it is tried again", "job", key, "err", err.Error())
+			s.o.Logger.Warn("could not record the end of a queued job; retrying", "job", key, "err", err.Error())
 		}
 	})
 }
 
-// claimWrite keeps a second write of the same job's end from starting.
-func (s *Scheduler) claimWrite(key string) bool {
+// beginEndWrite reports whether the job's end may be written, and prevents
+// concurrent writes of it until finishEndWrite.
+func (s *Scheduler) beginEndWrite(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.writing[key] {
+	if s.endWrites[key] {
 		return false
 	}
-	s.writing[key] = true
+	s.endWrites[key] = true
 	return true
 }
 
-func (s *Scheduler) releaseWrite(key string) {
+// finishEndWrite allows the job's end to be written again.
+func (s *Scheduler) finishEndWrite(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.writing, key)
+	delete(s.endWrites, key)
 }
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -7,128 +7,135 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// RosterGang is a gang whose leases are to be kept, and its workers.
-type RosterGang struct {
+// AssignedGang is a gang whose leases this host renews, and its workers.
+type AssignedGang struct {
 	Gang    workerapi.Gang
 	Workers []string // distinct
 }
 
-// Batch is one renewal message to a worker. A probe extends nothing.
-type Batch struct {
+// RenewalBatch is one renewal request to a worker. A probe asks which gangs run
+// and extends no lease.
+type RenewalBatch struct {
 	Worker string
 	Gangs  []workerapi.Gang
 	Probe  bool
 }
 
-// Observation is what a renewal taught about a gang on a worker. Unreachable
-// means that the worker answered no renewal for a whole lease.
+// Observation is what a renewal found out about a gang on a worker. Unreachable
+// means that the worker confirmed no renewal for a whole lease.
 type Observation struct {
 	Gang        workerapi.Gang
 	Worker      string
-	Tasks       []workerapi.Task // the gang's tasks that the worker remembers as ended
+	Tasks       []workerapi.Task // the gang's ended tasks that the worker still lists
 	Unreachable bool
 }
 
-// releaseKept is how long a promise is remembered: far longer than the ledger
-// lists a generation that has ended.
-const releaseKept = time.Hour
+// releaseRetention is how long a gang is kept out of renewal after StopRenewing:
+// far longer than the ledger lists a generation that has ended.
+const releaseRetention = time.Hour
 
-type share struct {
-	acked    time.Time // last renewal or probe that the worker confirmed
-	answered bool      // confirmed the last message
-	done     bool      // all its tasks finished; nothing to renew
+// memberLease is the renewal state of a gang's tasks on one worker.
+type memberLease struct {
+	confirmedAt time.Time // time of the last renewal or probe that the worker confirmed
+	confirmed   bool      // the worker confirmed the last renewal or probe
+	finished    bool      // all its tasks finished; nothing to renew
 }
 
-type keep struct {
-	since   time.Time
-	workers map[string]*share
-	doubt   bool // a probe was sent since the last renewal
-	broken  bool // a member is lost: renewed no more
+// gangLeases is the renewal state of one gang.
+type gangLeases struct {
+	assignedAt time.Time
+	workers    map[string]*memberLease
+	probing    bool // a probe was sent since the last renewal
+	abandoned  bool // a member was lost; the gang is not renewed any more
 }
 
-// Renewals decides which leases one entry host renews. A gang is renewed as
-// one: only while every member confirmed the last message. Members that did
-// not, and all members of a gang new to this host, are first asked by probes
-// that extend nothing. So a gang that lost a member ends by itself. It is pure
-// state, owned by the renewer's loop.
-type Renewals struct {
-	gangs    map[workerapi.Gang]*keep
-	released map[workerapi.Gang]time.Time
+// RenewalPlanner decides which leases one entry host renews. A gang's leases are
+// renewed together, and only while every member confirmed the last renewal or
+// probe. Members that did not, and all members of a gang that was newly assigned
+// to this host, first get probes, which extend no lease. The remaining leases of
+// a gang that lost a member therefore expire. RenewalPlanner does no I/O and
+// reads no clock; it is not safe for concurrent use.
+type RenewalPlanner struct {
+	gangs      map[workerapi.Gang]*gangLeases
+	releasedAt map[workerapi.Gang]time.Time
 }
 
-// NewRenewals returns an empty set.
-func NewRenewals() *Renewals {
-	return &Renewals{gangs: make(map[workerapi.Gang]*keep), released: make(map[workerapi.Gang]time.Time)}
+// NewRenewalPlanner returns a RenewalPlanner without gangs.
+func NewRenewalPlanner() *RenewalPlanner {
+	return &RenewalPlanner{gangs: make(map[workerapi.Gang]*gangLeases), releasedAt: make(map[workerapi.Gang]time.Time)}
 }
 
-// Release promises that the gang is never renewed here again.
-func (r *Renewals) Release(now time.Time, g workerapi.Gang) {
-	r.released[g] = now
+// StopRenewing removes the gang and keeps it from being assigned to this host
+// again for releaseRetention.
+func (r *RenewalPlanner) StopRenewing(now time.Time, g workerapi.Gang) {
+	r.releasedAt[g] = now
 	delete(r.gangs, g)
 }
 
-// SetRoster replaces the gangs that this host keeps.
-func (r *Renewals) SetRoster(now time.Time, roster []RosterGang) {
-	next := make(map[workerapi.Gang]*keep, len(roster))
-	for _, g := range roster {
-		if _, released := r.released[g.Gang]; released {
+// SetAssigned replaces the gangs whose leases this host renews.
+func (r *RenewalPlanner) SetAssigned(now time.Time, assigned []AssignedGang) {
+	next := make(map[workerapi.Gang]*gangLeases, len(assigned))
+	for _, g := range assigned {
+		if _, released := r.releasedAt[g.Gang]; released {
 			continue
 		}
-		k := r.gangs[g.Gang]
-		if k == nil {
-			k = newKeep(now, g.Workers)
+		leases := r.gangs[g.Gang]
+		if leases == nil {
+			leases = newGangLeases(now, g.Workers)
 		}
-		next[g.Gang] = k
+		next[g.Gang] = leases
 	}
 	r.gangs = next
-	for g, at := range r.released {
-		if now.Sub(at) >= releaseKept {
-			delete(r.released, g)
+	for g, at := range r.releasedAt {
+		if now.Sub(at) >= releaseRetention {
+			delete(r.releasedAt, g)
 		}
 	}
 }
 
-func newKeep(now time.Time, workers []string) *keep {
-	k := &keep{since: now, workers: make(map[string]*share, len(workers))}
+func newGangLeases(now time.Time, workers []string) *gangLeases {
+	leases := &gangLeases{assignedAt: now, workers: make(map[string]*memberLease, len(workers))}
 	for _, w := range workers {
-		k.workers[w] = &share{acked: now}
+		leases.workers[w] = &memberLease{confirmedAt: now}
 	}
-	return k
+	return leases
 }
 
-// Tick returns one round of messages, ordered by worker, and the gangs that
-// are given up because a worker stayed silent for a whole lease.
-func (r *Renewals) Tick(now time.Time) (batches []Batch, lost []Observation) {
+// PlanRound returns the requests of one round, probes before renewals and each
+// ordered by worker, and the gangs that are abandoned because a worker confirmed
+// nothing for a whole lease.
+func (r *RenewalPlanner) PlanRound(now time.Time) (batches []RenewalBatch, unreachable []Observation) {
 	set := newBatchSet()
-	for _, g := range r.ordered() {
-		k := r.gangs[g]
-		if k.broken {
+	for _, g := range r.sortedGangs() {
+		leases := r.gangs[g]
+		if leases.abandoned {
 			continue
 		}
-		if w := k.silent(now); w != "" {
-			k.broken = true
-			lost = append(lost, Observation{Gang: g, Worker: w, Unreachable: true})
+		if w := leases.expiredWorker(now); w != "" {
+			leases.abandoned = true
+			unreachable = append(unreachable, Observation{Gang: g, Worker: w, Unreachable: true})
 			continue
 		}
-		set.add(g, k)
+		set.add(g, leases)
 	}
-	return set.batches(), lost
+	return set.batches(), unreachable
 }
 
-// Again returns the rest of a round, once its answers are in: gangs that turned
-// out whole after a probe are renewed, silent members are probed once more.
-func (r *Renewals) Again() []Batch {
+// PlanSecondPass returns the round's second batch of requests, after the answers
+// to the first: it renews gangs whose probes were all confirmed, and probes
+// members that did not answer once more.
+func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
-	for _, g := range r.ordered() {
-		k := r.gangs[g]
-		if !k.broken && (k.doubt || k.doubtful()) {
-			set.add(g, k)
+	for _, g := range r.sortedGangs() {
+		leases := r.gangs[g]
+		if !leases.abandoned && (leases.probing || leases.hasUnconfirmed()) {
+			set.add(g, leases)
 		}
 	}
 	return set.batches()
 }
 
-// batchSet gathers a round's messages by worker.
+// batchSet collects the gangs to probe and to renew by worker.
 type batchSet struct {
 	probes   map[string][]workerapi.Gang
 	renewals map[string][]workerapi.Gang
@@ -138,43 +145,44 @@
 	return batchSet{probes: make(map[string][]workerapi.Gang), renewals: make(map[string][]workerapi.Gang)}
 }
 
-// add puts a gang's next messages into the set.
-func (b batchSet) add(g workerapi.Gang, k *keep) {
-	k.doubt = k.doubtful()
-	for w, s := range k.workers {
+// add adds a gang's next probes or renewals.
+func (b batchSet) add(g workerapi.Gang, leases *gangLeases) {
+	leases.probing = leases.hasUnconfirmed()
+	for w, lease := range leases.workers {
 		switch {
-		case s.done:
-		case !k.doubt:
-			s.answered = false
+		case lease.finished:
+		case !leases.probing:
+			lease.confirmed = false
 			b.renewals[w] = append(b.renewals[w], g)
-		case !s.answered:
+		case !lease.confirmed:
 			b.probes[w] = append(b.probes[w], g)
 		}
 	}
 }
 
-func (b batchSet) batches() []Batch {
-	var out []Batch
+func (b batchSet) batches() []RenewalBatch {
+	var out []RenewalBatch
 	for _, w := range sortedKeys(b.probes) {
-		out = append(out, Batch{Worker: w, Gangs: b.probes[w], Probe: true})
+		out = append(out, RenewalBatch{Worker: w, Gangs: b.probes[w], Probe: true})
 	}
 	for _, w := range sortedKeys(b.renewals) {
-		out = append(out, Batch{Worker: w, Gangs: b.renewals[w]})
+		out = append(out, RenewalBatch{Worker: w, Gangs: b.renewals[w]})
 	}
 	return out
 }
 
-// doubtful tells whether some member did not confirm the last message.
-func (k *keep) doubtful() bool {
-	for _, s := range k.workers {
-		if !s.done && !s.answered {
+// hasUnconfirmed reports whether some member did not confirm the last renewal or
+// probe.
+func (leases *gangLeases) hasUnconfirmed() bool {
+	for _, lease := range leases.workers {
+		if !lease.finished && !lease.confirmed {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Renewals) ordered() []workerapi.Gang {
+func (r *RenewalPlanner) sortedGangs() []workerapi.Gang {
 	out := make([]workerapi.Gang, 0, len(r.gangs))
 	for g := range r.gangs {
 		out = append(out, g)
@@ -188,42 +196,44 @@
 	return out
 }
 
-// silent returns a worker that confirmed nothing for a whole lease.
-func (k *keep) silent(now time.Time) string {
+// expiredWorker returns the first worker by name that confirmed nothing for a
+// whole lease, or "".
+func (leases *gangLeases) expiredWorker(now time.Time) string {
 	found := ""
-	for w, s := range k.workers {
-		if !s.done && now.Sub(s.acked) >= Lease && (found == "" || w < found) {
+	for w, lease := range leases.workers {
+		if !lease.finished && now.Sub(lease.confirmedAt) >= LeaseDuration && (found == "" || w < found) {
 			found = w
 		}
 	}
 	return found
 }
 
-// Answer takes a worker's answer to a batch and returns what it taught.
-func (r *Renewals) Answer(now time.Time, b Batch, reply workerapi.RenewReply) []Observation {
+// HandleReply applies a worker's reply to a batch and returns what it shows about
+// gangs that were not renewed.
+func (r *RenewalPlanner) HandleReply(now time.Time, b RenewalBatch, reply workerapi.RenewReply) []Observation {
 	missing := make(map[workerapi.Gang]bool, len(reply.Missing))
 	for _, g := range reply.Missing {
 		missing[g] = true
 	}
 	var out []Observation
 	for _, g := range b.Gangs {
-		k := r.gangs[g]
-		if k == nil || k.workers[b.Worker] == nil {
+		leases := r.gangs[g]
+		if leases == nil || leases.workers[b.Worker] == nil {
 			continue
 		}
 		if !missing[g] {
-			s := k.workers[b.Worker]
-			s.acked, s.answered = now, true
+			lease := leases.workers[b.Worker]
+			lease.confirmedAt, lease.confirmed = now, true
 			continue
 		}
-		out = append(out, k.onMissing(now, g, b.Worker, reply.Ended)...)
+		out = append(out, leases.onMissing(now, g, b.Worker, reply.Ended)...)
 	}
 	return out
 }
 
-// onMissing handles a gang that does not run on a worker: it finished there, it
-// ended otherwise, or its start is still under way.
-func (k *keep) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
+// onMissing handles a gang that a worker did not renew: its tasks finished there,
+// some ended otherwise, or its start is still in progress.
+func (leases *gangLeases) onMissing(now time.Time, g workerapi.Gang, worker string, ended []workerapi.Task) []Observation {
 	var tasks []workerapi.Task
 	finished := true
 	for _, t := range ended {
@@ -232,12 +242,12 @@
 			finished = finished && t.State == workerapi.TaskFinished
 		}
 	}
-	starting := len(tasks) == 0 && now.Sub(k.since) < Lease
+	starting := len(tasks) == 0 && now.Sub(leases.assignedAt) < LeaseDuration
 	if starting {
 		return nil
 	}
-	s := k.workers[worker]
-	s.done = finished && len(tasks) > 0
-	k.broken = k.broken || !s.done
+	lease := leases.workers[worker]
+	lease.finished = finished && len(tasks) > 0
+	leases.abandoned = leases.abandoned || !lease.finished
 	return []Observation{{Gang: g, Worker: worker, Tasks: tasks}}
 }
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -13,96 +13,97 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// renewer keeps the leases of this host's share of gangs. It needs neither
-// the term nor the platform: it goes on with the roster it last knew.
+// renewer renews the leases of the gangs that are assigned to this host. It needs
+// neither the term nor the platform: without them it continues with the last
+// assignment that it could read.
 type renewer struct {
 	o       Options
 	observe func(Observation)
 
-	mu    sync.Mutex // guards core
-	core  *Renewals
-	round sync.RWMutex // held for reading while messages of a round are under way
+	mu      sync.Mutex // guards planner
+	planner *RenewalPlanner
+	roundMu sync.RWMutex // held for reading while requests of a round are in flight
 
-	sent   *metrics.Counter
-	failed *metrics.Counter
+	renewalsSent       *metrics.Counter
+	renewalsUnanswered *metrics.Counter
 }
 
 func newRenewer(o Options, observe func(Observation)) *renewer {
 	return &renewer{
-		o:       o,
-		observe: observe,
-		core:    NewRenewals(),
-		sent:    o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_sent_total"),
-		failed:  o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_unanswered_total"),
+		o:                  o,
+		observe:            observe,
+		planner:            NewRenewalPlanner(),
+		renewalsSent:       o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_sent_total"),
+		renewalsUnanswered: o.Metrics.GetOrCreateCounter("cyclamentray_gang_renewals_unanswered_total"),
 	}
 }
 
 func (r *renewer) run(ctx context.Context) {
-	ticker := time.NewTicker(RenewEvery)
+	ticker := time.NewTicker(RenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.renewOnce(ctx)
+			r.renewRound(ctx)
 		}
 	}
 }
 
-// renewOnce does one round: one message to each worker with gangs of the
-// share, and a second one where an answer calls for it.
-func (r *renewer) renewOnce(ctx context.Context) {
-	roster := r.roster(ctx)
-	r.round.RLock()
-	defer r.round.RUnlock()
+// renewRound runs one round: a first pass of renewals and probes to the workers
+// of the assigned gangs, and a second pass that depends on their answers.
+func (r *renewer) renewRound(ctx context.Context) {
+	assigned := r.assignedGangs(ctx)
+	r.roundMu.RLock()
+	defer r.roundMu.RUnlock()
 	r.mu.Lock()
-	r.core.SetRoster(r.o.Now(), roster)
-	batches, lost := r.core.Tick(r.o.Now())
+	r.planner.SetAssigned(r.o.Now(), assigned)
+	batches, unreachable := r.planner.PlanRound(r.o.Now())
 	r.mu.Unlock()
-	r.report(ctx, lost)
-	r.send(ctx, batches)
+	r.reportObservations(ctx, unreachable)
+	r.sendBatches(ctx, batches)
 	r.mu.Lock()
-	batches = r.core.Again()
+	batches = r.planner.PlanSecondPass()
 	r.mu.Unlock()
-	r.send(ctx, batches)
+	r.sendBatches(ctx, batches)
 }
 
-// send delivers a round's messages side by side and takes in the answers.
-func (r *renewer) send(ctx context.Context, batches []Batch) {
-	learned := make([][]Observation, len(batches))
+// sendBatches sends requests concurrently and reports what their replies show.
+func (r *renewer) sendBatches(ctx context.Context, batches []RenewalBatch) {
+	observations := make([][]Observation, len(batches))
 	var g errgroup.Group
 	for i, b := range batches {
 		g.Go(func() error {
-			learned[i] = r.renew(ctx, b)
+			observations[i] = r.sendBatch(ctx, b)
 			return nil
 		})
 	}
 	_ = g.Wait()
-	r.report(ctx, slices.Concat(learned...))
+	r.reportObservations(ctx, slices.Concat(observations...))
 }
 
-func (r *renewer) renew(ctx context.Context, b Batch) []Observation {
-	address, listed := workerAddress(r.o, b.Worker)
+func (r *renewer) sendBatch(ctx context.Context, b RenewalBatch) []Observation {
+	address, listed := findWorkerAddress(r.o, b.Worker)
 	if !listed {
 		return nil
 	}
-	r.sent.Inc()
-	req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: Lease}
+	r.renewalsSent.Inc()
+	req := workerapi.RenewRequest{Gangs: b.Gangs, Lease: LeaseDuration}
 	if b.Probe {
 		req.Lease = 0
 	}
 	var reply workerapi.RenewReply
 	if err := r.o.Workers.Call(ctx, address, workerapi.PathRenew, req, &reply); err != nil {
-		r.failed.Inc()
+		r.renewalsUnanswered.Inc()
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.core.Answer(r.o.Now(), b, reply)
+	return r.planner.HandleReply(r.o.Now(), b, reply)
 }
 
-func workerAddress(o Options, worker string) (string, bool) {
+func findWorkerAddress(o Options, worker string) (string, bool) {
 	for _, h := range o.Membership.View().Hosts {
 		if h.Name == worker && h.Kind == kvstore.Worker {
 			return h.Address, true
@@ -111,18 +112,18 @@
 	return "", false
 }
 
-// report tells this host's scheduler and the other entry hosts, as any of them
-// may be, or become, the one that schedules.
-func (r *renewer) report(ctx context.Context, learned []Observation) {
-	for _, o := range learned {
+// reportObservations passes observations to this host's scheduler and to the
+// other entry hosts, since any of them may hold the term now or later.
+func (r *renewer) reportObservations(ctx context.Context, observations []Observation) {
+	for _, o := range observations {
 		r.observe(o)
 	}
-	if len(learned) == 0 || r.o.Peers == nil {
+	if len(observations) == 0 || r.o.Peers == nil {
 		return
 	}
 	for _, h := range r.o.Membership.View().Neighbours() {
-		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
-		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, learned, &Ack{})
+		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, observations, &Ack{})
 		cancel()
 	}
 }
--- a/gang/run.go
+++ b/gang/run.go
@@ -7,88 +7,96 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Times of a gang's life. The bound on a start after a taking-out is
-// PermitAge + Hold.
+// Durations in the life cycle of a gang. After its failure domain was taken out of
+// service, a task can start for at most MaxConfigAge + ReservationTTL: an older
+// configuration permits no start, and a start request that arrives later finds
+// its reservation expired.
 const (
-	// Hold is how long a reservation lives from its arrival at the worker.
-	Hold = time.Second
-	// Lease is how long tasks run without a renewal.
-	Lease = 20 * time.Second
-	// RenewEvery is the time between two renewals of a gang.
-	RenewEvery = 5 * time.Second
-	// Grace is the longest a checkpoint may take before the stop. It is under
-	// Lease less RenewEvery, so no renewal is needed meanwhile.
-	Grace = 10 * time.Second
-	// lapseMargin covers timer skew when a lease is waited out.
-	lapseMargin = 2 * time.Second
-	// adoptPatience is how long a new scheduler waits for a gang's workers to answer.
-	adoptPatience = 10 * time.Second
-	// callPatience is how long an answer of the ledger is awaited before asking again.
-	callPatience = 5 * time.Second
-	// confirmAfter is how long after its start a gang is asked for once, as many
-	// tasks that fail at all fail at once.
-	confirmAfter = time.Second
-	// retryEvery is the time between two tries of an unanswered stop or fence.
-	retryEvery = time.Second
+	// ReservationTTL is how long a reservation lasts from its arrival at the worker.
+	ReservationTTL = time.Second
+	// LeaseDuration is how long tasks run without a renewal.
+	LeaseDuration = 20 * time.Second
+	// RenewInterval is the interval between renewals of a gang.
+	RenewInterval = 5 * time.Second
+	// CheckpointGrace is the longest time a checkpoint may take before the stop. It
+	// is shorter than LeaseDuration - RenewInterval, so that no renewal is needed
+	// in the meantime.
+	CheckpointGrace = 10 * time.Second
+	// leaseExpiryMargin allows for timer skew when waiting for leases to expire.
+	leaseExpiryMargin = 2 * time.Second
+	// adoptionTimeout is how long a new scheduler waits for all workers of an
+	// adopted gang to list their tasks.
+	adoptionTimeout = 10 * time.Second
+	// recordRetryInterval is the time after which an unconfirmed write to the ledger
+	// is repeated.
+	recordRetryInterval = 5 * time.Second
+	// startCheckDelay is the time from a gang's start to a single listing of its
+	// tasks, since many tasks that fail do so immediately.
+	startCheckDelay = time.Second
+	// workerRetryInterval is the time after which an unanswered task listing, stop or
+	// fence is repeated.
+	workerRetryInterval = time.Second
 )
 
-// Phase is a run's stage.
+// Phase is the phase of a run.
 type Phase int
 
-// The phases of a run.
+// Phases of a run.
 const (
-	Recording Phase = iota // the ledger is asked to take the placement
+	RecordingPlacement Phase = iota // the placement is being written to the ledger
 	Reserving
 	Starting
 	Running
-	Adopting // found in the ledger by a new scheduler; workers are asked
-	Ordered  // a stop by choice is being recorded
-	Saving   // tasks save their work
-	Stopping // workers are told to stop; the rest is waited out
-	Closing  // the outcome is being recorded
+	Adopting         // found in the ledger by a new scheduler; workers list their tasks
+	RecordingStop    // a requested stop is being written to the ledger
+	Checkpointing    // tasks are being checkpointed
+	Stopping         // workers stop the gang, or its leases are waited out
+	RecordingOutcome // the outcome is being written to the ledger
 	Ended
 )
 
-type status int
+// memberStatus is the state of a gang's tasks on one worker.
+type memberStatus int
 
 const (
-	idle status = iota
-	reserved
-	mayRun // a start was sent, or the ledger says that one may have been
-	runs
-	finished // all its tasks finished; nothing runs there
-	stopped  // nothing runs there, and nothing can start
+	memberIdle memberStatus = iota
+	memberReserved
+	memberMayRun // a start was sent, or may have been, according to the ledger
+	memberRunning
+	memberFinished // all its tasks finished; nothing runs there
+	memberStopped  // nothing runs there, and nothing can start
 )
 
+// member is the part of a gang on one worker.
 type member struct {
-	worker string
-	tasks  []int
-	status status
-	saved  bool
-	known  bool // answered a listing since adoption
+	worker       string
+	tasks        []int
+	status       memberStatus
+	checkpointed bool
+	listed       bool // listed its tasks at least once
 }
 
-// Run is one generation of a gang, from placement to end. It is pure state: it
+// Run is the state machine of one generation of a gang, from placement to end. It
 // does no I/O and reads no clock. The Scheduler's loop owns it.
 type Run struct {
 	Gang    workerapi.Gang
 	Phase   Phase
 	Workers []string // worker of each task
 
-	members []*member // in order of their first task
-	since   time.Time // start of the phase
-	next    time.Time // next retry
-	order   StopOrder // why and into what it ends
-	failed  bool
-	suspect []string
-	asked   job.State // state last handed to the ledger
-	checked bool      // its workers were asked once after the start
-	told    bool      // the ledger has the run as running
-	fenced  time.Time // zero: not fenced
+	members         []*member   // in order of their first task
+	phaseStart      time.Time   // start of the phase
+	nextRetry       time.Time   // of unanswered actions
+	stopRequest     StopRequest // why the run ends and the state it leaves the job in
+	failed          bool
+	suspectWorkers  []string
+	requestedState  job.State // state last written to the ledger, confirmed or not
+	startChecked    bool      // the listing after startCheckDelay was sent
+	runningRecorded bool      // the ledger confirmed the Running state
+	fencedAt        time.Time // zero: not fenced
 }
 
-func newRun(g workerapi.Gang, workers []string, phase Phase, now time.Time) *Run {
-	r := &Run{Gang: g, Phase: phase, Workers: workers, since: now, next: now}
+func newRunInPhase(g workerapi.Gang, workers []string, phase Phase, now time.Time) *Run {
+	r := &Run{Gang: g, Phase: phase, Workers: workers, phaseStart: now, nextRetry: now}
 	byWorker := make(map[string]*member)
 	for i, w := range workers {
 		m := byWorker[w]
@@ -102,41 +110,42 @@
 	return r
 }
 
-// Place begins a new run: its placement goes to the ledger first.
-func Place(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Recording, now)
-	return r, []Action{r.record(job.Placed, "")}
+// NewRun begins a new run. Its first action writes the placement to the ledger.
+func NewRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
+	r := newRunInPhase(g, workers, RecordingPlacement, now)
+	return r, []Action{r.recordState(job.Placed, "")}
 }
 
-// Adopt takes over a run that the ledger knows and this scheduler did not start.
-func Adopt(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Adopting, now)
+// AdoptRun takes over a run that the ledger lists as live and that this scheduler
+// did not start.
+func AdoptRun(g workerapi.Gang, workers []string, now time.Time) (*Run, []Action) {
+	r := newRunInPhase(g, workers, Adopting, now)
 	for _, m := range r.members {
-		m.status = mayRun
+		m.status = memberMayRun
 	}
 	return r, r.tick(now)
 }
 
-// Resume takes over a stop that an earlier scheduler had recorded.
-func Resume(g workerapi.Gang, workers []string, order StopOrder, now time.Time) (*Run, []Action) {
-	r := newRun(g, workers, Stopping, now)
+// ResumeStop continues a stop that an earlier scheduler wrote to the ledger.
+func ResumeStop(g workerapi.Gang, workers []string, request StopRequest, now time.Time) (*Run, []Action) {
+	r := newRunInPhase(g, workers, Stopping, now)
 	for _, m := range r.members {
-		m.status = mayRun
+		m.status = memberMayRun
 	}
-	r.order = order
+	r.stopRequest = request
 	return r, r.tick(now)
 }
 
-func (r *Run) record(state job.State, reason string) Record {
-	r.asked = state
-	saved := r.all(func(m *member) bool { return m.saved })
-	return Record{State: state, Reason: reason, Failed: r.failed, Suspect: r.suspect, Saved: saved}
+func (r *Run) recordState(state job.State, reason string) RecordState {
+	r.requestedState = state
+	checkpointed := r.allMembers(func(m *member) bool { return m.checkpointed })
+	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspectWorkers, Checkpointed: checkpointed}
 }
 
-func (r *Run) enter(p Phase, now time.Time) {
+func (r *Run) enterPhase(p Phase, now time.Time) {
 	r.Phase = p
-	r.since = now
-	r.next = now
+	r.phaseStart = now
+	r.nextRetry = now
 }
 
 func (r *Run) member(worker string) *member {
@@ -148,16 +157,16 @@
 	return nil
 }
 
-func (r *Run) all(is func(*member) bool) bool {
+func (r *Run) allMembers(matches func(*member) bool) bool {
 	for _, m := range r.members {
-		if !is(m) {
+		if !matches(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// Step takes one event and returns what to do.
+// Step handles one event and returns the actions to execute.
 func (r *Run) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case Recorded:
@@ -166,13 +175,13 @@
 		return r.onReserved(now, e)
 	case Started:
 		return r.onStarted(now, e)
-	case Listed:
+	case TasksListed:
 		return r.onListed(now, e)
-	case StopOrder:
-		return r.onOrder(now, e)
+	case StopRequest:
+		return r.onStopRequest(now, e)
 	case Checkpointed:
 		return r.onCheckpointed(now, e)
-	case Lost:
+	case WorkerLost:
 		return r.onLost(now, e)
 	case Stopped:
 		return r.onStopped(now, e)
@@ -184,69 +193,70 @@
 }
 
 func (r *Run) onRecorded(now time.Time, e Recorded) []Action {
-	if e.State != r.asked {
+	if e.State != r.requestedState {
 		return nil
 	}
 	if e.Superseded {
-		r.enter(Ended, now) // what the ledger has instead is adopted
+		r.enterPhase(Ended, now) // the scheduler adopts the ledger's state instead
 		return nil
 	}
 	switch r.Phase {
-	case Recording:
+	case RecordingPlacement:
 		return r.onPlaced(now, e.OK)
-	case Ordered:
+	case RecordingStop:
 		if e.OK {
-			return r.save(now)
+			return r.checkpointMembers(now)
 		}
 	case Running:
-		r.told = e.OK
-	case Closing:
+		r.runningRecorded = e.OK
+	case RecordingOutcome:
 		if e.OK {
-			r.enter(Ended, now)
+			r.enterPhase(Ended, now)
 		}
 	}
 	return nil
 }
 
-// outrun tells whether the ledger has the job in a state that a running gang
-// can not be in, so that this run is obsolete.
-func (r *Run) outrun(rec job.Record) bool {
+// isObsolete reports whether the run is in phase Running while the ledger's record
+// is of another generation or in a state that a running gang cannot be in.
+func (r *Run) isObsolete(rec job.Record) bool {
 	if r.Phase != Running {
 		return false
 	}
 	return rec.Generation != r.Gang.Generation || (rec.State != job.Placed && rec.State != job.Running)
 }
 
-// tick retries what is unanswered and notices what took too long.
+// tick retries unanswered actions and ends phases that have timed out.
 func (r *Run) tick(now time.Time) []Action {
 	switch r.Phase {
 	case Reserving, Starting:
-		if now.Sub(r.since) >= 2*Hold {
-			return r.fail(now, "the gang's start took too long")
+		if now.Sub(r.phaseStart) >= 2*ReservationTTL {
+			return r.failRun(now, "the gang's start took too long")
 		}
 	case Adopting:
 		return r.tickAdopting(now)
 	case Running:
 		return r.tickRunning(now)
-	case Ordered:
-		return r.again(now, job.Stopping, r.order.Reason)
-	case Saving:
-		if now.Sub(r.since) >= r.order.Grace {
-			return r.stop(now)
+	case RecordingStop:
+		return r.retryRecord(now, job.Stopping, r.stopRequest.Reason)
+	case Checkpointing:
+		if now.Sub(r.phaseStart) >= r.stopRequest.Grace {
+			return r.stopMembers(now)
 		}
 	case Stopping:
 		return r.tickStopping(now)
-	case Closing:
-		return r.again(now, r.order.Next, r.order.Reason)
+	case RecordingOutcome:
+		return r.retryRecord(now, r.stopRequest.NextState, r.stopRequest.Reason)
 	}
 	return nil
 }
 
-// again repeats a record that the ledger did not confirm for a while.
-func (r *Run) again(now time.Time, state job.State, reason string) []Action {
-	if now.Before(r.next) {
+// retryRecord repeats an unconfirmed write to the ledger every
+// recordRetryInterval.
+func (r *Run) retryRecord(now time.Time, state job.State, reason string) []Action {
+	if now.Before(r.nextRetry) {
 		return nil
 	}
-	r.next = now.Add(callPatience)
-	return []Action{r.record(state, reason)}
+	r.nextRetry = now.Add(recordRetryInterval)
+	return []Action{r.recordState(state, reason)}
 }
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -1,6 +1,10 @@
-// Package gang runs gangs as one unit. The scheduler of a failure domain
-// reserves, starts, checkpoints and stops them under its term; every entry host
-// renews the leases of a share of them, which needs no term.
+// Package gang runs gangs: the tasks of a job, which all run or none does. The
+// entry host that holds a failure domain's scheduler term reserves, starts,
+// checkpoints and stops the gangs there. Every entry host renews the leases of
+// the gangs assigned to it, which needs no term. The state of runs is held in
+// memory and rebuilt from the ledger and the workers when the term changes
+// hands. Package entryhost creates and runs the Scheduler; intake asks it for
+// wait reasons and startable jobs.
 package gang
 
 import (
@@ -24,24 +28,24 @@
 )
 
 const (
-	cycleEvery  = time.Second            // between two decisions without any event
-	settleDelay = 10 * time.Millisecond  // events that come together are decided together
-	silentFor   = 15 * time.Second       // a worker that did not answer gets no new gang for so long
-	eventBuffer = 1024                   // answers waiting for the loop
-	peerTimeout = 900 * time.Millisecond // of one call to an entry host
+	maxCycleInterval   = time.Second            // between two cycles when no event arrives
+	eventBatchDelay    = 10 * time.Millisecond  // events that arrive within it are handled by the same cycle
+	unansweredCooldown = 15 * time.Second       // no new gang on a worker for this long after an unanswered call
+	eventBufferSize    = 1024                   // events waiting for the loop
+	peerCallTimeout    = 900 * time.Millisecond // of one call to an entry host
 )
 
 // Options configures a Scheduler.
 type Options struct {
 	FailureDomain string
-	Ledger        *ledger.Jobs // of the failure domain; somebody runs it
+	Ledger        *ledger.Jobs // of the failure domain; the caller runs it
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
 	Workers       WorkerCaller // nil: HTTP
-	Peers         peer.Caller  // nil: this entry host is alone
+	Peers         peer.Caller  // nil: there are no other entry hosts
 	Decide        func(placement.View) placement.Plan
-	Notes         *ledger.Notes // keeps learned run times over schedulers; nil: they are not kept
+	Notes         *ledger.Notes // stores run time estimates across schedulers; nil: they are not stored
 	Now           func() time.Time
 	Logger        *log.Logger
 	Metrics       *metrics.Set
@@ -49,7 +53,7 @@
 
 func (o Options) withDefaults() Options {
 	if o.Workers == nil {
-		o.Workers = NewHTTPWorkers()
+		o.Workers = NewHTTPWorkerCaller()
 	}
 	if o.Decide == nil {
 		o.Decide = placement.Decide
@@ -60,87 +64,88 @@
 	return o
 }
 
-// tracked is a run and what the scheduler knows of its job.
-type tracked struct {
-	run    *Run
-	record job.Record // as placed or adopted
-	ended  bool       // its outcome was learned from
-	fatal  string     // why the job itself fails; empty: it may run again
+// trackedRun is a run with the scheduler's state about its job.
+type trackedRun struct {
+	run            *Run
+	record         job.Record // as placed or adopted
+	outcomeCounted bool       // its outcome is in the estimates, quarantine and counters
+	fatalReason    string     // why the job itself fails for good; empty: it may run again
 }
 
-// delivery is an event for a run, on its way to the loop.
-type delivery struct {
+// runEvent is an event posted to the loop for a run.
+type runEvent struct {
 	gang  workerapi.Gang
 	term  uint64
 	event Event
 }
 
-// Scheduler places, starts and stops the gangs of one failure domain while
-// this host holds its term, and renews this host's share of leases always.
-// Its exported methods are safe for concurrent use; the loop in Run owns the rest.
+// Scheduler places, starts and stops the gangs of one failure domain while this
+// host holds its term. It renews the leases of the gangs assigned to this host
+// with or without the term. Its exported methods except Cycle are safe for
+// concurrent use.
 type Scheduler struct {
-	o       Options
-	permit  Permit
-	renewer *renewer
-	events  chan delivery
-	offers  chan offer
-	wake    chan struct{}
-	tasks   sync.WaitGroup // I/O under way
-	lists   singleflight.Group
+	o                Options
+	permit           Permit
+	renewer          *renewer
+	events           chan runEvent
+	startableQueries chan startableQuery
+	cycleRequests    chan struct{}
+	ioCalls          sync.WaitGroup // goroutines doing I/O
+	taskListings     singleflight.Group
 
-	// Owned by the loop.
-	term       uint64
-	runs       map[string]*tracked
-	wakeAt     time.Time
-	retries    map[string]retry // jobs whose last start failed
-	estimates  *placement.Estimates
-	quarantine *placement.Quarantine
-	learnt     learnt
+	// Accessed only by the loop.
+	term           uint64
+	runs           map[string]*trackedRun
+	wakeAt         time.Time             // of the next planned cycle; zero: none
+	retries        map[string]startRetry // backoff by key of the jobs whose last start failed
+	estimates      *placement.Estimates
+	quarantine     *placement.Quarantine
+	estimatesState estimatesState
 
-	mu       sync.Mutex
-	writing  map[string]bool      // queued jobs whose end is being recorded
-	silent   map[string]time.Time // worker to the last unanswered message
-	seen     map[workerapi.Gang]map[string]Observation
-	holds    map[string]string // job to the reason it waits
-	deficits []placement.Deficit
+	mu           sync.Mutex
+	endWrites    map[string]bool                           // keys of queued jobs whose end is being written
+	unanswered   map[string]time.Time                      // worker to the time of its last unanswered call
+	observations map[workerapi.Gang]map[string]Observation // by gang and worker
+	waitReasons  map[string]string                         // job key to the reason it waits
+	deficits     []placement.Deficit
 
-	meters meters
+	metrics schedulerMetrics
 }
 
-// New returns a scheduler; it acts once Run is called.
+// New returns a Scheduler. It does nothing until Run is called.
 func New(o Options) *Scheduler {
 	o = o.withDefaults()
 	s := &Scheduler{
-		o:       o,
-		permit:  Permit{FailureDomain: o.FailureDomain, Config: o.Config, Election: o.Election},
-		offers:  make(chan offer),
-		events:  make(chan delivery, eventBuffer),
-		wake:    make(chan struct{}, 1),
-		runs:    make(map[string]*tracked),
-		writing: make(map[string]bool),
-		silent:  make(map[string]time.Time),
-		seen:    make(map[workerapi.Gang]map[string]Observation),
-		holds:   make(map[string]string),
-		meters:  newMeters(o.Metrics),
+		o:                o,
+		permit:           Permit{FailureDomain: o.FailureDomain, Config: o.Config, Election: o.Election},
+		startableQueries: make(chan startableQuery),
+		events:           make(chan runEvent, eventBufferSize),
+		cycleRequests:    make(chan struct{}, 1),
+		runs:             make(map[string]*trackedRun),
+		endWrites:        make(map[string]bool),
+		unanswered:       make(map[string]time.Time),
+		observations:     make(map[workerapi.Gang]map[string]Observation),
+		waitReasons:      make(map[string]string),
+		metrics:          newSchedulerMetrics(o.Metrics),
 
-		retries:    make(map[string]retry),
-		estimates:  placement.NewEstimates(),
-		quarantine: placement.NewQuarantine(),
-		learnt:     newLearnt(),
+		retries:        make(map[string]startRetry),
+		estimates:      placement.NewEstimates(),
+		quarantine:     placement.NewQuarantine(),
+		estimatesState: newEstimatesState(),
 	}
 	o.Metrics.GetOrCreateGauge("cyclamentray_gang_deficits", func() float64 { return float64(len(s.Deficits())) })
 	s.renewer = newRenewer(o, s.Observe)
 	return s
 }
 
-// Run schedules and renews until ctx ends, then waits for I/O under way.
+// Run schedules and renews until ctx ends, then waits for I/O in progress.
 func (s *Scheduler) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.renewer.run(ctx) })
 	s.loop(ctx)
 	wg.Wait()
-	s.tasks.Wait()
-	if h, ok := s.o.Workers.(*HTTPWorkers); ok {
+	s.ioCalls.Wait()
+	if h, ok := s.o.Workers.(*HTTPWorkerCaller); ok {
 		h.Close()
 	}
 	return nil
@@ -151,7 +156,7 @@
 		ledgerChanged := s.o.Ledger.Changed()
 		configChanged := s.o.Config.Changed()
 		s.Cycle(ctx)
-		timer := time.NewTimer(s.pause())
+		timer := time.NewTimer(s.nextCycleDelay())
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -159,28 +164,28 @@
 			s.deliver(ctx, d)
 		case <-ledgerChanged:
 		case <-configChanged:
-		case <-s.wake:
-		case note := <-s.learnt.read:
-			s.adoptLearnt(note)
-		case o := <-s.offers:
-			s.answer(o)
+		case <-s.cycleRequests:
+		case saved := <-s.estimatesState.loaded:
+			s.replaceEstimates(saved)
+		case q := <-s.startableQueries:
+			s.answerStartable(q)
 		}
 		timer.Stop()
-		s.drain(ctx)
+		s.deliverEvents(ctx)
 	}
 }
 
-// pause returns how long to sleep when nothing happens.
-func (s *Scheduler) pause() time.Duration {
+// nextCycleDelay returns the time until the next cycle when no event arrives.
+func (s *Scheduler) nextCycleDelay() time.Duration {
 	if s.wakeAt.IsZero() {
-		return cycleEvery
+		return maxCycleInterval
 	}
-	return min(cycleEvery, max(settleDelay, s.wakeAt.Sub(s.o.Now())))
+	return min(maxCycleInterval, max(eventBatchDelay, s.wakeAt.Sub(s.o.Now())))
 }
 
-// drain delivers the events that come within a short time.
-func (s *Scheduler) drain(ctx context.Context) {
-	timer := time.NewTimer(settleDelay)
+// deliverEvents delivers the events that arrive within eventBatchDelay.
+func (s *Scheduler) deliverEvents(ctx context.Context) {
+	timer := time.NewTimer(eventBatchDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -194,61 +199,63 @@
 	}
 }
 
-func (s *Scheduler) deliver(ctx context.Context, d delivery) {
+func (s *Scheduler) deliver(ctx context.Context, d runEvent) {
 	t := s.runs[d.gang.Job]
 	if t == nil || t.run.Gang != d.gang || d.term != s.term {
 		return
 	}
-	s.step(ctx, t, d.event)
+	s.stepRun(ctx, t, d.event)
 }
 
-// step feeds an event to a run and starts what it asks for.
-func (s *Scheduler) step(ctx context.Context, t *tracked, e Event) {
+// stepRun passes an event to a run and executes the actions it returns.
+func (s *Scheduler) stepRun(ctx context.Context, t *trackedRun, e Event) {
 	before := t.run.Phase
 	actions := t.run.Step(s.o.Now(), e)
-	s.act(ctx, t, actions)
+	s.executeActions(ctx, t, actions)
 	if t.run.Phase != before {
 		s.o.Logger.Debug("gang changed phase", "job", t.run.Gang.Job, "generation", t.run.Gang.Generation, "phase", t.run.Phase)
 	}
 	if t.run.Phase == Ended {
 		delete(s.runs, t.run.Gang.Job)
-		s.poke()
+		s.requestCycle()
 	}
 }
 
-func (s *Scheduler) poke() {
+func (s *Scheduler) requestCycle() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.cycleRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Observe takes what a renewal taught, here or on another entry host. It is
-// kept until the ledger moves on, so that whichever host schedules next has it.
+// Observe stores an observation of a renewal by this or another entry host. It is
+// kept until the ledger no longer lists the gang as live, so that the host which
+// schedules next has it too.
 func (s *Scheduler) Observe(o Observation) {
 	s.mu.Lock()
-	if s.seen[o.Gang] == nil {
-		s.seen[o.Gang] = make(map[string]Observation)
+	if s.observations[o.Gang] == nil {
+		s.observations[o.Gang] = make(map[string]Observation)
 	}
-	s.seen[o.Gang][o.Worker] = o
+	s.observations[o.Gang][o.Worker] = o
 	s.mu.Unlock()
-	s.poke()
+	s.requestCycle()
 }
 
-// Hold returns why a queued job waits, as of the last decision here. ok is
-// false when this host does not schedule the failure domain or does not know.
-func (s *Scheduler) Hold(id job.ID) (reason string, ok bool) {
+// WaitReason returns why a queued job waits, as of this host's last decision. ok
+// is false when this host does not schedule the failure domain or has no reason
+// for the job.
+func (s *Scheduler) WaitReason(id job.ID) (reason string, ok bool) {
 	if _, _, held := s.o.Election.Term(); !held {
 		return "", false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reason, ok = s.holds[id.String()]
+	reason, ok = s.waitReasons[id.String()]
 	return reason, ok
 }
 
-// Deficits returns the guarantees that the last decision here could not back;
-// none when this host does not schedule the failure domain.
+// Deficits returns the guarantees that could not be backed as of this host's last
+// decision; none when this host does not schedule the failure domain.
 func (s *Scheduler) Deficits() []placement.Deficit {
 	if _, _, held := s.o.Election.Term(); !held {
 		return nil
