--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -37,9 +37,9 @@
 		Reset:  l.reset,
 		Apply:  l.apply,
 
-		Asking:  func() { l.readStarted(steady.Now()) },
-		Current: l.readDone,
-		Behind:  l.readTruncated,
+		ReadStarted:   func() { l.readStarted(steady.Now()) },
+		ReadDone:      l.readDone,
+		ReadTruncated: l.readTruncated,
 	}
 	c.logStoreLoss(&f)
 	f.Run(ctx)
--- a/entryhost/slices.go
+++ b/entryhost/slices.go
@@ -20,8 +20,8 @@
 
 // slices are the parts of one entry host, in the order in which they are built.
 type slices struct {
-	guard      *kvstore.Guard   // this host's own calls to the platform
-	platform   *kvstore.Carrier // the same, or through peers while it is cut off
+	guard      *kvstore.Guard         // this host's own calls to the platform
+	platform   *kvstore.FallbackStore // the same, or through peers while it is cut off
 	peers      *peer.Pool
 	peerServer *peer.Server
 	membership *membership.Membership
@@ -66,7 +66,7 @@
 		Logger:  h.opts.Logger.WithPrefix("platform"),
 		Metrics: h.opts.Metrics,
 	})
-	s.platform = kvstore.NewCarrier(s.guard, s.peers, func() []string { return s.membership.Carriers() })
+	s.platform = kvstore.NewFallbackStore(s.guard, s.peers, func() []string { return s.membership.Carriers() })
 }
 
 func (s *slices) buildMembership(h *Host) {
--- a/kvstore/follow.go
+++ b/kvstore/follow.go
@@ -22,13 +22,13 @@
 	// Reset takes the whole prefix; Apply takes later changes in order.
 	Reset func(items []Item)
 	Apply func(events []Event)
-	// Asking, when set, is called before each look at the store is sent.
-	Asking func()
-	// Behind, when set, is called before Apply when more changes wait than one
+	// ReadStarted, when set, is called before each look at the store is sent.
+	ReadStarted func()
+	// ReadTruncated, when set, is called before Apply when more changes wait than one
 	// watch gives: the events' times are then unknown.
-	Behind func()
-	// Current, when set, is called after each look at the store that succeeded.
-	Current func()
+	ReadTruncated func()
+	// ReadDone, when set, is called after each look at the store that succeeded.
+	ReadDone func()
 	// Lost and Regained tell that the copy is no longer, or again, current.
 	Lost     func(err error)
 	Regained func()
@@ -53,15 +53,15 @@
 	lost := true
 	retry := pause.Backoff{First: followRetry, Most: followMax}
 	for ctx.Err() == nil {
-		if f.Asking != nil {
-			f.Asking()
+		if f.ReadStarted != nil {
+			f.ReadStarted()
 		}
 		next, err := f.step(ctx, after, f.waitWhen(lost))
 		switch {
 		case err == nil:
 			f.report(&lost, nil)
-			if f.Current != nil {
-				f.Current()
+			if f.ReadDone != nil {
+				f.ReadDone()
 			}
 			retry.Reset()
 			after = next
@@ -116,8 +116,8 @@
 		return 0, err
 	}
 	f.taken = len(events)
-	if f.taken >= fullBatch && f.Behind != nil {
-		f.Behind()
+	if f.taken >= fullBatch && f.ReadTruncated != nil {
+		f.ReadTruncated()
 	}
 	if len(events) > 0 {
 		f.Apply(events)
--- a/kvstore/guard_test.go
+++ b/kvstore/guard_test.go
@@ -131,7 +131,7 @@
 	must.NoError(t, dead.Close())
 
 	cut := kvstore.New(kvstore.Options{Base: "http://" + dead.Addr().String()})
-	c := kvstore.NewCarrier(cut, pool, func() []string { return []string{dead.Addr().String(), l.Addr().String()} })
+	c := kvstore.NewFallbackStore(cut, pool, func() []string { return []string{dead.Addr().String(), l.Addr().String()} })
 	ctx := context.Background()
 	lease, err := c.Grant(ctx, time.Minute)
 	must.NoError(t, err)
