--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	watchWait       = 10 * time.Second
-	maxReplyBytes   = 4 << 20
-	idleConnections = 8
+	storeWatchWait     = 10 * time.Second
+	maxReplyBytes      = 4 << 20
+	maxIdleConnections = 8
 )
 
 // Client speaks the platform's HTTP API. It is safe for concurrent use.
 type Client struct {
-	bases []string
-	next  atomic.Uint32 // index of the base in use, modulo their number
-	http  *http.Client
+	baseURLs []string
+	current  atomic.Uint32 // index of the base in use, modulo their number
+	http     *http.Client
 }
 
 // NewClient returns a client of the platform at any of bases, such as
@@ -37,13 +37,13 @@
 func NewClient(bases ...string) *Client { return newClient(newTransport(), bases...) }
 
 func newTransport() *http.Transport {
-	return &http.Transport{MaxIdleConnsPerHost: idleConnections, DisableCompression: true}
+	return &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 }
 
 func newClient(transport *http.Transport, bases ...string) *Client {
 	c := &Client{http: &http.Client{Transport: telemetry.Transport(transport, "platform")}}
 	for _, base := range bases {
-		c.bases = append(c.bases, strings.TrimSuffix(base, "/"))
+		c.baseURLs = append(c.baseURLs, strings.TrimSuffix(base, "/"))
 	}
 	return c
 }
@@ -67,7 +67,7 @@
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	query := url.Values{}
 	query.Set("consistent", "") // never an answer from an older copy
-	e, err := c.read(ctx, key, query)
+	e, err := c.readEntry(ctx, key, query)
 	if err != nil {
 		return Entry{}, err
 	}
@@ -79,13 +79,13 @@
 
 // Watch implements Store.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (Entry, error) {
-	return c.read(ctx, key, watchQuery(ctx, after))
+	return c.readEntry(ctx, key, watchQuery(ctx, after))
 }
 
 // watchQuery asks the store to answer before ctx ends, so that the connection
 // stays in use.
 func watchQuery(ctx context.Context, after uint64) url.Values {
-	wait := watchWait
+	wait := storeWatchWait
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, time.Until(deadline)*3/4)
 	}
@@ -95,7 +95,7 @@
 	return query
 }
 
-func (c *Client) read(ctx context.Context, key string, query url.Values) (Entry, error) {
+func (c *Client) readEntry(ctx context.Context, key string, query url.Values) (Entry, error) {
 	status, body, err := c.call(ctx, http.MethodGet, "/v1/kv/"+key, query, nil)
 	if err != nil {
 		return Entry{}, failure(ErrUnavailable, err)
@@ -115,15 +115,15 @@
 
 // CompareAndSwap implements Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (Entry, error) {
-	return c.swap(ctx, key, value, version, newNonce())
+	return c.compareAndSwap(ctx, key, value, version, newNonce())
 }
 
-// swap is CompareAndSwap with the nonce to store beside the value.
-func (c *Client) swap(ctx context.Context, key string, value []byte, version, nonce uint64) (Entry, error) {
+// compareAndSwap is CompareAndSwap with the nonce to store beside the value.
+func (c *Client) compareAndSwap(ctx context.Context, key string, value []byte, version, nonce uint64) (Entry, error) {
 	query := url.Values{}
 	query.Set("cas", strconv.FormatUint(version, 10))
 	query.Set("flags", strconv.FormatUint(nonce, 10))
-	e, err := c.write(ctx, key, value, query, "", ErrConflict)
+	e, err := c.writeEntry(ctx, key, value, query, "", ErrConflict)
 	e.Nonce = nonce
 	return e, err
 }
@@ -132,11 +132,11 @@
 func (c *Client) Acquire(ctx context.Context, key string, value []byte, lease Lease) (Entry, error) {
 	query := url.Values{}
 	query.Set("acquire", lease.ID)
-	return c.write(ctx, key, value, query, lease.ID, ErrHeld)
+	return c.writeEntry(ctx, key, value, query, lease.ID, ErrHeld)
 }
 
-func (c *Client) write(ctx context.Context, key string, value []byte, query url.Values, lease string, refused error) (Entry, error) {
-	status, header, body, err := c.callHeader(ctx, http.MethodPut, "/v1/kv/"+key, query, value)
+func (c *Client) writeEntry(ctx context.Context, key string, value []byte, query url.Values, lease string, refusedErr error) (Entry, error) {
+	status, header, body, err := c.callWithHeader(ctx, http.MethodPut, "/v1/kv/"+key, query, value)
 	switch {
 	case errors.Is(err, errNotSent):
 		return Entry{}, failure(ErrUnavailable, err)
@@ -148,7 +148,7 @@
 		return Entry{}, errors.Newf("write of %s refused: status %d; check the size of the value and the platform's limits", key, status)
 	}
 	if strings.TrimSpace(string(body)) != "true" {
-		return Entry{}, refused
+		return Entry{}, refusedErr
 	}
 	version, err := strconv.ParseUint(header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
@@ -214,17 +214,17 @@
 
 // Hosts implements HostLister.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
-	hosts, _, err := c.hosts(ctx, nil)
+	hosts, _, err := c.listHosts(ctx, nil)
 	return hosts, err
 }
 
 // WatchHosts implements HostWatcher.
 func (c *Client) WatchHosts(ctx context.Context, after uint64) ([]Host, uint64, error) {
-	return c.hosts(ctx, watchQuery(ctx, after))
+	return c.listHosts(ctx, watchQuery(ctx, after))
 }
 
-func (c *Client) hosts(ctx context.Context, query url.Values) ([]Host, uint64, error) {
-	status, header, body, err := c.callHeader(ctx, http.MethodGet, "/v1/hosts", query, nil)
+func (c *Client) listHosts(ctx context.Context, query url.Values) ([]Host, uint64, error) {
+	status, header, body, err := c.callWithHeader(ctx, http.MethodGet, "/v1/hosts", query, nil)
 	if err != nil || (status != http.StatusOK && status != http.StatusNotModified) {
 		return nil, 0, failure(ErrUnavailable, errors.Newf("host list: status %d: %v", status, err))
 	}
@@ -243,22 +243,22 @@
 var errNotSent = errors.New("call not sent")
 
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
-	status, _, reply, err := c.callHeader(ctx, method, path, query, body)
+	status, _, reply, err := c.callWithHeader(ctx, method, path, query, body)
 	return status, reply, err
 }
 
-func (c *Client) callHeader(ctx context.Context, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
-	if len(c.bases) == 0 {
+func (c *Client) callWithHeader(ctx context.Context, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
+	if len(c.baseURLs) == 0 {
 		return 0, nil, nil, errors.New("no address of the platform; set platform.urls")
 	}
-	index := c.next.Load()
-	target := c.bases[int(index)%len(c.bases)] + path
+	index := c.current.Load()
+	target := c.baseURLs[int(index)%len(c.baseURLs)] + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
 	status, header, reply, err := c.exchange(ctx, method, target, body)
 	if err != nil || status >= http.StatusInternalServerError {
-		c.next.CompareAndSwap(index, index+1)
+		c.current.CompareAndSwap(index, index+1)
 	}
 	return status, header, reply, err
 }
--- a/kvstore/client_test.go
+++ b/kvstore/client_test.go
@@ -32,7 +32,7 @@
 	must.Eq(t, "2", string(got.Value))
 }
 
-func TestClientLeaseFencesHolders(t *testing.T) {
+func TestClientLeaseExcludesOtherHolders(t *testing.T) {
 	server := httptest.NewServer(kv.New())
 	defer server.Close()
 	c := kvstore.NewClient(server.URL)
@@ -53,7 +53,7 @@
 	must.Greater(t, first.Version, second.Version)
 }
 
-func TestClientMovesToTheNextURL(t *testing.T) {
+func TestClientFailsOverToTheNextURL(t *testing.T) {
 	server := httptest.NewServer(kv.New())
 	defer server.Close()
 	gone := httptest.NewServer(kv.New())
--- a/kvstore/fallback.go
+++ b/kvstore/fallback.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// directShare is the part of a call's time that the direct try may take
+	// directTimeShare is the part of a call's time that the direct try may take
 	// when peers could carry it.
-	directShare = 0.5
+	directTimeShare = 0.5
 
-	// peerShare is the part of what is left that one peer may take.
-	peerShare = 0.6
+	// peerTimeShare is the part of what is left that one peer may take.
+	peerTimeShare = 0.6
 
-	// probeEvery lies between two looks whether the store answers this host
+	// probeInterval lies between two looks whether the store answers this host
 	// again; one look takes probeTimeout at most, above the slowest store.
-	probeEvery   = 250 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
 
-	carriers = 2 // peers asked for one call
+	maxKeyspacePeers = 2 // peers asked for one call
 )
 
 // Fallback is a Keyspace that asks peers to carry its calls while the store
@@ -41,10 +41,10 @@
 	// ProbeKey is a key that may be read to see whether the store answers.
 	ProbeKey string
 
-	mu       sync.Mutex
-	lost     bool
-	regained chan struct{}   // closed when the store answers again; set while lost
-	silent   map[string]bool // peers whose last call failed
+	mu          sync.Mutex
+	storeDown   bool
+	recovered   chan struct{}   // closed when the store answers again; set while lost
+	failedPeers map[string]bool // peers whose last call failed
 }
 
 var _ Keyspace = (*Fallback)(nil)
@@ -95,59 +95,59 @@
 // call tries the store itself and then peers, or the other way round while the
 // store is known not to answer this host.
 func (f *Fallback) call(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
-	ways := []func(context.Context, KeyspaceArgs) (KeyspaceReply, error){f.direct, f.viaPeers}
-	if f.isLost() {
-		ways[0], ways[1] = ways[1], ways[0]
+	attempts := []func(context.Context, KeyspaceArgs) (KeyspaceReply, error){f.callDirect, f.callPeers}
+	if f.isStoreDown() {
+		attempts[0], attempts[1] = attempts[1], attempts[0]
 	}
-	unsure := false
+	ambiguous := false
 	var reply KeyspaceReply
 	var err error
-	for _, way := range ways {
-		reply, err = way(ctx, args)
-		if !failed(err) {
+	for _, attempt := range attempts {
+		reply, err = attempt(ctx, args)
+		if !unanswered(err) {
 			return reply, err
 		}
-		unsure = unsure || errors.Is(err, ErrAmbiguous)
+		ambiguous = ambiguous || errors.Is(err, ErrAmbiguous)
 	}
-	return reply, settleUnsure(unsure, err)
+	return reply, keepAmbiguity(ambiguous, err)
 }
 
-// settleUnsure returns the failure of a call after a try whose outcome is
+// keepAmbiguity returns the failure of a call after a try whose outcome is
 // unknown. The later failure's kind must not show: it says that nothing was done.
-func settleUnsure(unsure bool, err error) error {
-	if !unsure || errors.Is(err, ErrAmbiguous) {
+func keepAmbiguity(ambiguous bool, err error) error {
+	if !ambiguous || errors.Is(err, ErrAmbiguous) {
 		return err
 	}
 	return failure(ErrAmbiguous, errors.Newf("no answer to one try; the next: %v", err))
 }
 
-// failed reports whether the store gave no answer.
-func failed(err error) bool {
+// unanswered reports whether the store gave no answer.
+func unanswered(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous)
 }
 
-func (f *Fallback) direct(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
+func (f *Fallback) callDirect(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
 	if args.Op != keyspaceWatch && len(f.Addresses()) > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = shareOf(ctx, directShare)
+		ctx, cancel = withTimeShare(ctx, directTimeShare)
 		defer cancel()
 	}
 	if args.Op == keyspaceWatch {
 		// The probe's connection is new: this one may be silent for good.
 		var cancel context.CancelFunc
-		ctx, cancel = f.untilRegained(ctx)
+		ctx, cancel = f.untilRecovered(ctx)
 		defer cancel()
 	}
-	reply, err := perform(ctx, f.Direct, args)
+	reply, err := callKeyspace(ctx, f.Direct, args)
 	f.count(args.Op, "direct", err)
-	if failed(err) && !errors.Is(ctx.Err(), context.Canceled) {
-		f.lose()
+	if unanswered(err) && !errors.Is(ctx.Err(), context.Canceled) {
+		f.markStoreDown()
 	}
 	return reply, err
 }
 
-// shareOf bounds ctx to a part of the time it has left.
-func shareOf(ctx context.Context, part float64) (context.Context, context.CancelFunc) {
+// withTimeShare bounds ctx to a part of the time it has left.
+func withTimeShare(ctx context.Context, part float64) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
@@ -155,62 +155,62 @@
 	return context.WithTimeout(ctx, time.Duration(float64(time.Until(deadline))*part))
 }
 
-func (f *Fallback) viaPeers(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
+func (f *Fallback) callPeers(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
 	var reply KeyspaceReply
 	err := errors.Wrap(ErrUnavailable, "no peer is listed")
-	unsure := false
-	for _, address := range f.candidates() {
-		reply, err = f.viaPeer(ctx, address, args)
-		if !failed(err) {
+	ambiguous := false
+	for _, address := range f.peersToTry() {
+		reply, err = f.callPeer(ctx, address, args)
+		if !unanswered(err) {
 			return reply, err
 		}
-		unsure = unsure || errors.Is(err, ErrAmbiguous)
+		ambiguous = ambiguous || errors.Is(err, ErrAmbiguous)
 	}
-	return reply, settleUnsure(unsure, err)
+	return reply, keepAmbiguity(ambiguous, err)
 }
 
-// candidates returns a few peers, first those whose last call was answered.
-func (f *Fallback) candidates() []string {
+// peersToTry returns a few peers, first those whose last call was answered.
+func (f *Fallback) peersToTry() []string {
 	addresses := f.Addresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var good, silent []string
+	var answering, failed []string
 	for _, a := range addresses {
-		if f.silent[a] {
-			silent = append(silent, a)
+		if f.failedPeers[a] {
+			failed = append(failed, a)
 			continue
 		}
-		good = append(good, a)
+		answering = append(answering, a)
 	}
-	if len(good) == 0 {
-		clear(f.silent) // give them all another chance
+	if len(answering) == 0 {
+		clear(f.failedPeers) // give them all another chance
 	}
-	all := append(good, silent...)
-	return all[:min(carriers, len(all))]
+	all := append(answering, failed...)
+	return all[:min(maxKeyspacePeers, len(all))]
 }
 
-// viaPeer asks one peer. A read ends early when the store answers again.
-func (f *Fallback) viaPeer(ctx context.Context, address string, args KeyspaceArgs) (KeyspaceReply, error) {
+// callPeer asks one peer. A read ends early when the store answers again.
+func (f *Fallback) callPeer(ctx context.Context, address string, args KeyspaceArgs) (KeyspaceReply, error) {
 	if args.Op != keyspaceWatch {
 		var cancel context.CancelFunc
-		ctx, cancel = shareOf(ctx, peerShare)
+		ctx, cancel = withTimeShare(ctx, peerTimeShare)
 		defer cancel()
 	}
 	if !args.writes() {
 		var cancel context.CancelFunc
-		ctx, cancel = f.untilRegained(ctx)
+		ctx, cancel = f.untilRecovered(ctx)
 		defer cancel()
 	}
 	var reply KeyspaceReply
 	err := f.Peers.Call(ctx, address, "Keyspace.Do", &args, &reply)
 	f.count(args.Op, "peer", err)
 	if err == nil {
-		err = carriedFailure(reply)
-		f.mark(address, failed(err))
+		err = replyError(reply)
+		f.recordPeer(address, unanswered(err))
 		return reply, err
 	}
-	f.mark(address, true)
+	f.recordPeer(address, true)
 	if args.writes() && !errors.Is(err, peer.ErrNotSent) {
 		return reply, failure(ErrAmbiguous, err)
 	}
@@ -223,16 +223,16 @@
 	}
 	outcome := "ok"
 	if err != nil {
-		outcome = nameFailure(err)
+		outcome = failureName(err)
 	}
-	if !knownFailures[outcome] {
+	if !outcomeLabels[outcome] {
 		outcome = "other"
 	}
 	f.Metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamentray_store_calls_total{op=%q,way=%q,outcome=%q}`, op, way, outcome)).Inc()
 }
 
-// knownFailures bounds the values of a label.
-var knownFailures = func() map[string]bool {
+// outcomeLabels bounds the values of a label.
+var outcomeLabels = func() map[string]bool {
 	known := map[string]bool{"ok": true}
 	for _, f := range failureNames {
 		known[f.name] = true
@@ -240,33 +240,33 @@
 	return known
 }()
 
-func (f *Fallback) mark(address string, silent bool) {
+func (f *Fallback) recordPeer(address string, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.silent == nil {
-		f.silent = make(map[string]bool)
+	if f.failedPeers == nil {
+		f.failedPeers = make(map[string]bool)
 	}
-	f.silent[address] = silent
+	f.failedPeers[address] = failed
 }
 
-func (f *Fallback) isLost() bool {
+func (f *Fallback) isStoreDown() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.storeDown
 }
 
-// untilRegained returns a context that also ends when the store answers again.
-func (f *Fallback) untilRegained(ctx context.Context) (context.Context, context.CancelFunc) {
+// untilRecovered returns a context that also ends when the store answers again.
+func (f *Fallback) untilRecovered(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.mu.Lock()
-	regained := f.regained
+	recovered := f.recovered
 	f.mu.Unlock()
-	if regained == nil {
+	if recovered == nil {
 		return ctx, cancel
 	}
 	go func() {
 		select {
-		case <-regained:
+		case <-recovered:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -274,31 +274,31 @@
 	return ctx, cancel
 }
 
-// lose notes that the store does not answer, and looks until it does.
-func (f *Fallback) lose() {
+// markStoreDown notes that the store does not answer, and looks until it does.
+func (f *Fallback) markStoreDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost {
+	if f.storeDown {
 		return
 	}
-	f.lost = true
-	f.regained = make(chan struct{})
-	go f.probe()
+	f.storeDown = true
+	f.recovered = make(chan struct{})
+	go f.probeUntilRecovered()
 }
 
-func (f *Fallback) probe() {
+func (f *Fallback) probeUntilRecovered() {
 	for {
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		_, err := f.Direct.Get(ctx, f.ProbeKey)
 		cancel()
-		if failed(err) {
+		if unanswered(err) {
 			continue
 		}
 		f.mu.Lock()
-		f.lost = false
-		close(f.regained)
-		f.regained = nil
+		f.storeDown = false
+		close(f.recovered)
+		f.recovered = nil
 		f.mu.Unlock()
 		return
 	}
--- a/kvstore/fallback_test.go
+++ b/kvstore/fallback_test.go
@@ -13,14 +13,14 @@
 	"github.com/cyclamentray/cyclamentray/standin/keyspace"
 )
 
-// relay carries calls to a store, as a peer does.
-type relay struct {
+// fakePeer carries calls to a store, as a peer does.
+type fakePeer struct {
 	service kvstore.KeyspaceService
 	down    atomic.Bool
 	calls   atomic.Int64
 }
 
-func (r *relay) Call(_ context.Context, _, _ string, args, reply any) error {
+func (r *fakePeer) Call(_ context.Context, _, _ string, args, reply any) error {
 	r.calls.Add(1)
 	if r.down.Load() {
 		return errors.New("connection reset")
@@ -28,22 +28,22 @@
 	return r.service.Do(args.(*kvstore.KeyspaceArgs), reply.(*kvstore.KeyspaceReply))
 }
 
-// pair is one store that a host reaches by itself, with faults, and through a
+// newFallback is one store that a host reaches by itself, with faults, and through a
 // peer, without.
-func pair(fault *atomic.Int64) (*kvstore.Fallback, *relay, *keyspace.Store) {
-	var whole *keyspace.Store
+func newFallback(fault *atomic.Int64) (*kvstore.Fallback, *fakePeer, *keyspace.Store) {
+	var shared *keyspace.Store
 	direct := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
-	whole = keyspace.New(keyspace.Options{})
-	r := &relay{service: kvstore.KeyspaceService{Store: whole}}
+	shared = keyspace.New(keyspace.Options{})
+	r := &fakePeer{service: kvstore.KeyspaceService{Store: shared}}
 	f := &kvstore.Fallback{Direct: direct, Peers: r, Addresses: func() []string { return []string{"peer"} }, ProbeKey: "probe"}
-	return f, r, whole
+	return f, r, shared
 }
 
-func put(key string) kvstore.Txn {
+func createKey(key string) kvstore.Txn {
 	return kvstore.Txn{If: []kvstore.Condition{{Key: key}}, Puts: []kvstore.Put{{Key: key, Value: []byte("v")}}}
 }
 
-func soon(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -52,56 +52,56 @@
 // A try without an answer may have been done. That a later try certainly was
 // not done must not make the whole look like "not done": the caller was told
 // that its job was not accepted, and the job ran.
-func TestUnknownOutcomeStaysUnknown(t *testing.T) {
+func TestFallbackReportsAmbiguousWhenAnEarlierAttemptMayHaveCommitted(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Lost))
-	f, r, _ := pair(&fault)
+	f, r, _ := newFallback(&fault)
 	r.down.Store(false)
 	r.service.Store = keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Refused }})
-	_, err := f.Commit(soon(t), put("k"))
+	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrAmbiguous)
 	must.False(t, errors.Is(err, kvstore.ErrUnavailable))
 }
 
 // A host that the store turns away goes on through a peer, and by itself again
 // once the store answers it.
-func TestPeerCarriesCallsUntilTheStoreAnswers(t *testing.T) {
+func TestFallbackUsesPeerUntilTheStoreAnswers(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, whole := pair(&fault)
-	_, err := f.Commit(soon(t), put("k"))
+	f, r, shared := newFallback(&fault)
+	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.NoError(t, err)
-	_, err = whole.Get(soon(t), "k")
+	_, err = shared.Get(shortContext(t), "k")
 	must.NoError(t, err)
-	_, err = f.Commit(soon(t), put("k"))
+	_, err = f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrConflict)
 	fault.Store(int64(keyspace.Served))
-	for limit := time.Now().Add(5 * time.Second); ; {
+	for deadline := time.Now().Add(5 * time.Second); ; {
 		before := r.calls.Load()
-		_, _ = f.Get(soon(t), "k") // found or not, by which way is what counts
+		_, _ = f.Get(shortContext(t), "k") // found or not, by which way is what counts
 		if r.calls.Load() == before {
 			return
 		}
-		must.True(t, time.Now().Before(limit), must.Sprint("still asks the peer"))
+		must.True(t, time.Now().Before(deadline), must.Sprint("still asks the peer"))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // Without store and peers nothing is done, and the failure says so.
-func TestNobodyReachesTheStore(t *testing.T) {
+func TestFallbackFailsWhenStoreAndPeersAreDown(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, _ := pair(&fault)
+	f, r, _ := newFallback(&fault)
 	r.down.Store(true)
-	_, err := f.Get(soon(t), "k")
+	_, err := f.Get(shortContext(t), "k")
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
-	_, err = f.Commit(soon(t), put("k"))
+	_, err = f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrAmbiguous) // the peer may have made the call
 }
 
 // A follower sees every change once, across a history that is dropped and an
 // outage, and tells when it is not current.
-func TestFollowerCatchesUp(t *testing.T) {
+func TestFollowerSeesEveryChangeAcrossCompactionAndOutage(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(c keyspace.Call) keyspace.Outcome {
 		if c.Write {
@@ -111,7 +111,7 @@
 	}})
 	seen := make(map[string]bool)
 	var n, lost, regained atomic.Int64
-	take := func(key string) {
+	record := func(key string) {
 		seen[key] = true
 		n.Store(int64(len(seen)))
 	}
@@ -119,12 +119,12 @@
 		Store: store, Prefix: "p/", Wait: 50 * time.Millisecond,
 		Reset: func(items []kvstore.Item) {
 			for _, item := range items {
-				take(item.Key)
+				record(item.Key)
 			}
 		},
 		Apply: func(events []kvstore.Event) {
 			for _, e := range events {
-				take(e.Key)
+				record(e.Key)
 			}
 		},
 		Lost:     func(error) { lost.Add(1) },
@@ -137,12 +137,12 @@
 		close(ended)
 	}()
 	commit := func(key string) {
-		_, err := store.Commit(ctx, put(key))
+		_, err := store.Commit(ctx, createKey(key))
 		must.NoError(t, err)
 	}
 	await := func(want int64) {
-		for limit := time.Now().Add(5 * time.Second); n.Load() != want; time.Sleep(5 * time.Millisecond) {
-			must.True(t, time.Now().Before(limit), must.Sprintf("%d of %d seen", n.Load(), want))
+		for deadline := time.Now().Add(5 * time.Second); n.Load() != want; time.Sleep(5 * time.Millisecond) {
+			must.True(t, time.Now().Before(deadline), must.Sprintf("%d of %d seen", n.Load(), want))
 		}
 	}
 	commit("p/1")
@@ -167,7 +167,7 @@
 
 // That the store is back is known at once, although nothing changes: until then
 // callers are refused.
-func TestFollowerKnowsAtOnceThatTheStoreIsBack(t *testing.T) {
+func TestFollowerReportsRecoveryWithoutWaitingForAChange(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
 	regained := make(chan struct{}, 4)
@@ -184,7 +184,7 @@
 		close(ended)
 	}()
 	<-regained
-	store.Write(put("p/1")) // ends the watch; the next one fails
+	store.Write(createKey("p/1")) // ends the watch; the next one fails
 	<-lost
 	fault.Store(int64(keyspace.Served))
 	select {
--- a/kvstore/follow.go
+++ b/kvstore/follower.go
@@ -33,51 +33,51 @@
 	Lost     func(err error)
 	Regained func()
 
-	taken int // events of the last watch
+	lastBatch int // events of the last watch
 }
 
-// fullBatch is how many events of one watch mean that more are waiting; the
+// truncatedBatch is how many events of one watch mean that more are waiting; the
 // platform's store gives about 500 at a time.
-const fullBatch = 400
+const truncatedBatch = 400
 
 const (
-	followGrace   = 700 * time.Millisecond // beyond the wait, for a slow answer
-	followTimeout = 2 * time.Second        // one whole list
-	followRetry   = 60 * time.Millisecond  // first pause after a failure; doubles up to followMax
-	followMax     = 400 * time.Millisecond // a change must be seen well within two seconds of the store's return
+	watchAnswerGrace = 700 * time.Millisecond // beyond the wait, for a slow answer
+	listTimeout      = 2 * time.Second        // one whole list
+	firstRetryWait   = 60 * time.Millisecond  // first pause after a failure; doubles up to followMax
+	maxRetryWait     = 400 * time.Millisecond // a change must be seen well within two seconds of the store's return
 )
 
 // Run follows the prefix until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var after uint64
 	lost := true
-	retry := pause.Backoff{First: followRetry, Most: followMax}
+	retry := pause.Backoff{First: firstRetryWait, Most: maxRetryWait}
 	for ctx.Err() == nil {
 		if f.ReadStarted != nil {
 			f.ReadStarted()
 		}
-		next, err := f.step(ctx, after, f.waitWhen(lost))
+		next, err := f.readNext(ctx, after, f.watchWait(lost))
 		switch {
 		case err == nil:
-			f.report(&lost, nil)
+			f.reportLoss(&lost, nil)
 			if f.ReadDone != nil {
 				f.ReadDone()
 			}
 			retry.Reset()
 			after = next
-			if f.Pause != nil && f.taken < fullBatch {
+			if f.Pause != nil && f.lastBatch < truncatedBatch {
 				pause.For(ctx, f.Pause())
 			}
 		case errors.Is(err, ErrCompacted):
 			after = 0
 		case ctx.Err() == nil:
-			f.report(&lost, err)
+			f.reportLoss(&lost, err)
 			retry.Wait(ctx)
 		}
 	}
 }
 
-func (f *Follower) report(lost *bool, err error) {
+func (f *Follower) reportLoss(lost *bool, err error) {
 	was := *lost
 	*lost = err != nil
 	if *lost && !was && f.Lost != nil {
@@ -88,19 +88,19 @@
 	}
 }
 
-// waitWhen returns how long the next watch waits. After a failure it does not:
+// watchWait returns how long the next watch waits. After a failure it does not:
 // that the store is back must be known at once, not when something changes.
-func (f *Follower) waitWhen(lost bool) time.Duration {
+func (f *Follower) watchWait(lost bool) time.Duration {
 	if lost {
 		return 0
 	}
 	return f.Wait
 }
 
-// step lists the prefix when there is no copy to continue from, and watches it otherwise.
-func (f *Follower) step(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
+// readNext lists the prefix when there is no copy to continue from, and watches it otherwise.
+func (f *Follower) readNext(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
 	if after == 0 {
-		ctx, cancel := context.WithTimeout(ctx, followTimeout)
+		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
 		items, asOf, err := f.Store.List(ctx, f.Prefix)
 		if err != nil {
@@ -109,14 +109,14 @@
 		f.Reset(items)
 		return asOf, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+followGrace)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchAnswerGrace)
 	defer cancel()
 	events, asOf, err := f.Store.Watch(ctx, f.Prefix, after, wait)
 	if err != nil {
 		return 0, err
 	}
-	f.taken = len(events)
-	if f.taken >= fullBatch && f.ReadTruncated != nil {
+	f.lastBatch = len(events)
+	if f.lastBatch >= truncatedBatch && f.ReadTruncated != nil {
 		f.ReadTruncated()
 	}
 	if len(events) > 0 {
--- a/kvstore/guard.go
+++ b/kvstore/guard.go
@@ -21,13 +21,13 @@
 	// urgentTimeout bounds an urgent call, which may outlast that finding: a
 	// slow answer still serves it.
 	urgentTimeout = 1900 * time.Millisecond
-	// watchSlack is what a watch may take beyond the store's own wait.
-	watchSlack = time.Second
-	// defaultRate and defaultBurst are a host's budget: calls per second, and
+	// watchGrace is what a watch may take beyond the store's own wait.
+	watchGrace = time.Second
+	// defaultCallsPerSecond and defaultBurst are a host's budget: calls per second, and
 	// calls at once, enough to take over a shard of claims or a failure domain.
-	defaultRate  = 40
-	defaultBurst = 300
-	watchCall    = "watch"
+	defaultCallsPerSecond = 40
+	defaultCallBurst      = 300
+	watchKind             = "watch"
 	// probeKey is read to learn whether the platform answers. It need not exist.
 	probeKey = "cyclamentray/probe"
 )
@@ -45,10 +45,10 @@
 
 func (o Options) withDefaults() Options {
 	if o.Rate <= 0 {
-		o.Rate = defaultRate
+		o.Rate = defaultCallsPerSecond
 	}
 	if o.Burst <= 0 {
-		o.Burst = defaultBurst
+		o.Burst = defaultCallBurst
 	}
 	o.Now = defaults.Now(o.Now)
 	o.Logger = defaults.Logger(o.Logger)
@@ -65,9 +65,9 @@
 	client *Client
 	budget *rate.Limiter
 
-	mu      sync.Mutex
-	health  health
-	watched map[string]Entry // newest entry of each key that is watched
+	mu         sync.Mutex
+	breaker    circuitBreaker
+	watchCache map[string]Entry // newest entry of each key that is watched
 }
 
 // New returns a guard around a client of the platform at opts.Base.
@@ -80,7 +80,7 @@
 		client: newClient(transport, append([]string{opts.Base}, opts.Others...)...),
 		budget: rate.NewLimiter(rate.Limit(opts.Rate), opts.Burst),
 
-		watched: make(map[string]Entry),
+		watchCache: make(map[string]Entry),
 	}
 	opts.Metrics.GetOrCreateGauge("cyclamentray_platform_down", func() float64 {
 		if g.Down() {
@@ -98,7 +98,7 @@
 func (g *Guard) Down() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.health.down()
+	return g.breaker.down()
 }
 
 // do makes one call of a kind, counted and bounded by timeout.
@@ -113,11 +113,11 @@
 	defer cancel()
 	sent := g.opts.Now()
 	if timeout == urgentTimeout {
-		slow := time.AfterFunc(callTimeout, func() { g.setHealth(func(h *health) { h.failed(g.opts.Now(), rand.Float64()) }) })
+		slow := time.AfterFunc(callTimeout, func() { g.updateBreaker(func(h *circuitBreaker) { h.recordFailure(g.opts.Now(), rand.Float64()) }) })
 		defer slow.Stop()
 	}
 	err := call(callCtx)
-	g.note(ctx, kind, sent, err)
+	g.record(ctx, kind, sent, err)
 	return err
 }
 
@@ -126,22 +126,22 @@
 func (g *Guard) admit(ctx context.Context, kind string) error {
 	if !isUrgent(ctx) {
 		g.mu.Lock()
-		admitted := g.health.admit(g.opts.Now())
+		admitted := g.breaker.allow(g.opts.Now())
 		g.mu.Unlock()
 		if !admitted {
 			g.count(kind, "held-back")
 			return failure(ErrUnavailable, errors.New("platform is down; call held back"))
 		}
 	}
-	if err := g.spend(ctx); err != nil {
+	if err := g.takeBudget(ctx); err != nil {
 		g.count(kind, "over-budget")
 		return err
 	}
 	return nil
 }
 
-// spend takes one call from the host's budget.
-func (g *Guard) spend(ctx context.Context) error {
+// takeBudget takes one call from the host's budget.
+func (g *Guard) takeBudget(ctx context.Context) error {
 	if isUrgent(ctx) {
 		g.budget.ReserveN(g.opts.Now(), 1)
 		return nil
@@ -149,30 +149,30 @@
 	return failure(ErrUnavailable, errors.Wrap(g.budget.Wait(ctx), "call budget"))
 }
 
-// note takes in a call's outcome. A caller that gave up says nothing about the
+// record takes in a call's outcome. A caller that gave up says nothing about the
 // platform.
-func (g *Guard) note(ctx context.Context, kind string, sent time.Time, err error) {
+func (g *Guard) record(ctx context.Context, kind string, sent time.Time, err error) {
 	now := g.opts.Now()
 	g.opts.Metrics.GetOrCreateHistogram(fmt.Sprintf(`cyclamentray_platform_call_seconds{kind=%q}`, kind)).Update(now.Sub(sent).Seconds())
-	if !failedToAnswer(err) {
+	if !noAnswer(err) {
 		g.count(kind, "answered")
-		if now.Sub(sent) < callTimeout || kind == watchCall {
-			g.setHealth(func(h *health) { h.answered() })
+		if now.Sub(sent) < callTimeout || kind == watchKind {
+			g.updateBreaker(func(h *circuitBreaker) { h.recordAnswer() })
 		}
 		return
 	}
 	g.count(kind, "failed")
-	if ctx.Err() != nil && (kind == watchCall || now.Sub(sent) < callTimeout) {
+	if ctx.Err() != nil && (kind == watchKind || now.Sub(sent) < callTimeout) {
 		return
 	}
-	g.setHealth(func(h *health) { h.failed(now, rand.Float64()) })
+	g.updateBreaker(func(h *circuitBreaker) { h.recordFailure(now, rand.Float64()) })
 }
 
-func (g *Guard) setHealth(change func(*health)) {
+func (g *Guard) updateBreaker(change func(*circuitBreaker)) {
 	g.mu.Lock()
-	before := g.health.down()
-	change(&g.health)
-	after := g.health.down()
+	before := g.breaker.down()
+	change(&g.breaker)
+	after := g.breaker.down()
 	g.mu.Unlock()
 	switch {
 	case after && !before:
@@ -187,7 +187,7 @@
 	g.opts.Metrics.GetOrCreateCounter(name).Inc()
 }
 
-func failedToAnswer(err error) bool {
+func noAnswer(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous)
 }
 
@@ -241,7 +241,7 @@
 
 // WatchHosts implements HostWatcher.
 func (g *Guard) WatchHosts(ctx context.Context, after uint64) (hosts []Host, index uint64, err error) {
-	err = g.do(ctx, watchCall, watchWait+watchSlack, func(ctx context.Context) error {
+	err = g.do(ctx, watchKind, storeWatchWait+watchGrace, func(ctx context.Context) error {
 		hosts, index, err = g.client.WatchHosts(ctx, after)
 		return err
 	})
@@ -250,17 +250,17 @@
 
 // CompareAndSwap implements Store.
 func (g *Guard) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (Entry, error) {
-	return settleSwap(ctx, g, swapArgs{key: key, value: value, version: version, nonce: newNonce()})
+	return swapAndResolve(ctx, g, swapArgs{key: key, value: value, version: version, nonce: newNonce()})
 }
 
 // Acquire implements Store.
 func (g *Guard) Acquire(ctx context.Context, key string, value []byte, lease Lease) (Entry, error) {
-	return settleAcquire(ctx, g, acquireArgs{key: key, value: value, lease: lease})
+	return acquireAndResolve(ctx, g, acquireArgs{key: key, value: value, lease: lease})
 }
 
 func (g *Guard) swapOnce(ctx context.Context, a swapArgs) (e Entry, err error) {
 	err = g.do(ctx, "swap", callTimeout, func(ctx context.Context) error {
-		e, err = g.client.swap(ctx, a.key, a.value, a.version, a.nonce)
+		e, err = g.client.compareAndSwap(ctx, a.key, a.value, a.version, a.nonce)
 		return err
 	})
 	return e, err
@@ -274,11 +274,11 @@
 	return e, err
 }
 
-// probe makes one small read in the background when the platform is down and
+// probeInBackground makes one small read in the background when the platform is down and
 // the back-off allows it, so that its return is noticed.
-func (g *Guard) probe() {
+func (g *Guard) probeInBackground() {
 	g.mu.Lock()
-	allowed := g.health.down() && g.health.admit(g.opts.Now())
+	allowed := g.breaker.down() && g.breaker.allow(g.opts.Now())
 	g.mu.Unlock()
 	if allowed {
 		go func() { _, _ = g.Get(Urgent(context.Background()), probeKey) }()
--- a/kvstore/guard_test.go
+++ b/kvstore/guard_test.go
@@ -17,23 +17,23 @@
 
 func newGuard(t *testing.T, opts kvstore.Options) (*kv.Server, *kvstore.Guard) {
 	t.Helper()
-	stand := kv.New()
-	server := httptest.NewServer(stand)
+	store := kv.New()
+	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	opts.Base = server.URL
-	return stand, kvstore.New(opts)
+	return store, kvstore.New(opts)
 }
 
-func TestLostAnswerOfAWriteIsSettledByReadingBack(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+func TestLostAnswerOfAWriteIsResolvedByReadingBack(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	lease, err := g.Grant(ctx, time.Minute)
 	must.NoError(t, err)
 
-	stand.SetFaults(kv.Faults{LoseAnswers: 1})
+	store.SetFaults(kv.Faults{LoseAnswers: 1})
 	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0)
 	must.NoError(t, err)
-	stand.SetFaults(kv.Faults{LoseAnswers: 1})
+	store.SetFaults(kv.Faults{LoseAnswers: 1})
 	held, err := g.Acquire(ctx, "term", nil, lease)
 	must.NoError(t, err)
 	must.Eq(t, lease.ID, held.Lease)
@@ -42,7 +42,7 @@
 	must.Eq(t, first.Version, got.Version) // applied once
 }
 
-func TestSwapThatLandsLateIsAppliedOnce(t *testing.T) {
+func TestDelayedSwapIsAppliedOnce(t *testing.T) {
 	stand, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	stand.SetFaults(kv.Faults{Delay: 1500 * time.Millisecond})
@@ -59,7 +59,7 @@
 	must.Eq(t, "2", string(got.Value))
 }
 
-func TestPlatformThatIsDownGetsFewCallsAndNoStampede(t *testing.T) {
+func TestGuardLimitsCallsWhilePlatformIsDown(t *testing.T) {
 	stand, g := newGuard(t, kvstore.Options{Rate: 1e6, Burst: 1e6})
 	ctx := context.Background()
 	stand.SetFaults(kv.Faults{Down: true})
@@ -84,7 +84,7 @@
 	}))
 }
 
-func TestFrozenPlatformIsFeltWithinASecond(t *testing.T) {
+func TestUnresponsivePlatformIsDetectedBeforeAnUrgentCallEnds(t *testing.T) {
 	stand, g := newGuard(t, kvstore.Options{})
 	stand.SetFaults(kv.Faults{Delay: 4 * time.Second})
 	returned := make(chan struct{})
@@ -104,7 +104,7 @@
 	must.Less(t, 500*time.Millisecond, time.Since(began)) // held back, not waiting
 }
 
-func TestUrgentCallsPassAnExhaustedBudget(t *testing.T) {
+func TestUrgentCallsBypassAnExhaustedBudget(t *testing.T) {
 	_, g := newGuard(t, kvstore.Options{Rate: 0.001, Burst: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -116,7 +116,7 @@
 	must.ErrorIs(t, err, kvstore.ErrNotFound)
 }
 
-func TestHostThatIsCutOffFromThePlatformGoesThroughAPeer(t *testing.T) {
+func TestFallbackStoreUsesAPeerWhenThePlatformIsUnreachable(t *testing.T) {
 	_, reaching := newGuard(t, kvstore.Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -147,7 +147,7 @@
 	must.ErrorIs(t, err, kvstore.ErrNotFound)
 }
 
-func TestWatchThatItsCallerEndsSaysNothingAboutThePlatform(t *testing.T) {
+func TestCancelledWatchDoesNotMarkThePlatformDown(t *testing.T) {
 	_, g := newGuard(t, kvstore.Options{})
 	ctx, cancel := context.WithCancel(context.Background()) // a deadline would end it in time
 	time.AfterFunc(1200*time.Millisecond, cancel)
@@ -156,7 +156,7 @@
 	must.False(t, g.Down())
 }
 
-func TestWatchBringsChangesAndTheSameEntryOtherwise(t *testing.T) {
+func TestWatchReturnsChangesOrTheCachedEntry(t *testing.T) {
 	stand, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0)
--- a/kvstore/keyspace_carry.go
+++ b/kvstore/keyspace_service.go
@@ -56,9 +56,9 @@
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	answer, err := perform(ctx, s.Store, *args)
+	answer, err := callKeyspace(ctx, s.Store, *args)
 	*reply = answer
-	reply.Failure = nameFailure(err)
+	reply.Failure = failureName(err)
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
 		reply.Items = conflict.Items
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// perform makes a call on a store.
-func perform(ctx context.Context, store Keyspace, a KeyspaceArgs) (KeyspaceReply, error) {
+// callKeyspace makes a call on a store.
+func callKeyspace(ctx context.Context, store Keyspace, a KeyspaceArgs) (KeyspaceReply, error) {
 	var r KeyspaceReply
 	var err error
 	switch a.Op {
@@ -91,10 +91,10 @@
 	return r, err
 }
 
-// carriedFailure returns the failure that a peer's reply names.
-func carriedFailure(r KeyspaceReply) error {
-	if errors.Is(failureNamed(r.Failure), ErrConflict) {
+// replyError returns the failure that a peer's reply names.
+func replyError(r KeyspaceReply) error {
+	if errors.Is(failureFromName(r.Failure), ErrConflict) {
 		return &ConflictError{Items: r.Items}
 	}
-	return failureNamed(r.Failure)
+	return failureFromName(r.Failure)
 }
--- a/kvstore/carry.go
+++ b/kvstore/peer_service.go
@@ -8,20 +8,20 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
-// carryOp names a carried call.
-type carryOp string
+// storeOp names a carried call.
+type storeOp string
 
 const (
-	opGet        carryOp = "get"
-	opSwap       carryOp = "swap"
-	opWatch      carryOp = "watch"
-	opGrant      carryOp = "grant"
-	opRenew      carryOp = "renew"
-	opRevoke     carryOp = "revoke"
-	opAcquire    carryOp = "acquire"
-	opWatchHosts carryOp = "watch-hosts"
-	opHosts      carryOp = "hosts"
-	opDelete     carryOp = "delete"
+	opGet        storeOp = "get"
+	opSwap       storeOp = "swap"
+	opWatch      storeOp = "watch"
+	opGrant      storeOp = "grant"
+	opRenew      storeOp = "renew"
+	opRevoke     storeOp = "revoke"
+	opAcquire    storeOp = "acquire"
+	opWatchHosts storeOp = "watch-hosts"
+	opHosts      storeOp = "hosts"
+	opDelete     storeOp = "delete"
 )
 
 // CarryArgs is a call that a peer makes for a host that does not reach the
@@ -64,7 +64,7 @@
 	{"unavailable", ErrUnavailable},
 }
 
-func nameFailure(err error) string {
+func failureName(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -76,7 +76,7 @@
 	return err.Error()
 }
 
-func failureNamed(name string) error {
+func failureFromName(name string) error {
 	if name == "" {
 		return nil
 	}
@@ -91,21 +91,21 @@
 // RegisterPeer publishes the net/rpc service that makes calls for peers. It
 // never passes them on to a third host.
 func (g *Guard) RegisterPeer(s *peer.Server) error {
-	return s.Register("Platform", &service{guard: g})
+	return s.Register("Platform", &peerService{guard: g})
 }
 
-type service struct{ guard *Guard }
+type peerService struct{ guard *Guard }
 
 // Carry makes a peer's call.
-func (s *service) Carry(args CarryArgs, reply *CarryReply) error {
+func (s *peerService) Carry(args CarryArgs, reply *CarryReply) error {
 	// The asking host has spent its own budget on the call.
-	err := s.guard.perform(Urgent(args.ctx), args, reply)
-	reply.Failure = nameFailure(err)
+	err := s.guard.execute(Urgent(args.ctx), args, reply)
+	reply.Failure = failureName(err)
 	return nil
 }
 
-func (g *Guard) perform(ctx context.Context, args CarryArgs, reply *CarryReply) (err error) {
-	switch carryOp(args.Op) {
+func (g *Guard) execute(ctx context.Context, args CarryArgs, reply *CarryReply) (err error) {
+	switch storeOp(args.Op) {
 	case opGet:
 		reply.Entry, err = g.Get(ctx, args.Key)
 	case opWatch:
--- a/kvstore/settle.go
+++ b/kvstore/resolve.go
@@ -10,8 +10,8 @@
 	"github.com/cyclamentray/cyclamentray/internal/pause"
 )
 
-// settleTimeout bounds the reading back of a write whose answer was lost.
-const settleTimeout = 3 * time.Second
+// resolveTimeout bounds the reading back of a write whose answer was lost.
+const resolveTimeout = 3 * time.Second
 
 type swapArgs struct {
 	key     string
@@ -33,42 +33,42 @@
 	acquireOnce(ctx context.Context, a acquireArgs) (Entry, error)
 }
 
-func settleSwap(ctx context.Context, w writer, a swapArgs) (Entry, error) {
+func swapAndResolve(ctx context.Context, w writer, a swapArgs) (Entry, error) {
 	write := func(ctx context.Context) (Entry, error) { return w.swapOnce(ctx, a) }
-	judge := func(found Entry) verdict { return judgeSwap(found, a.version, a.nonce) }
-	return settle(ctx, w, a.key, write, judge)
+	classify := func(found Entry) writeState { return swapState(found, a.version, a.nonce) }
+	return writeAndResolve(ctx, w, a.key, write, classify)
 }
 
-func settleAcquire(ctx context.Context, w writer, a acquireArgs) (Entry, error) {
+func acquireAndResolve(ctx context.Context, w writer, a acquireArgs) (Entry, error) {
 	write := func(ctx context.Context) (Entry, error) { return w.acquireOnce(ctx, a) }
-	judge := func(found Entry) verdict { return judgeAcquire(found, a.lease) }
-	return settle(ctx, w, a.key, write, judge)
+	classify := func(found Entry) writeState { return acquireState(found, a.lease) }
+	return writeAndResolve(ctx, w, a.key, write, classify)
 }
 
-// settle makes a write and, when its answer is lost, finds out whether it took
+// writeAndResolve makes a write and, when its answer is lost, finds out whether it took
 // effect. While the key shows no trace of it the write may still be under way,
 // so the same one is sent again: at most one of them is applied.
-func settle(ctx context.Context, w writer, key string, write func(context.Context) (Entry, error), judge func(Entry) verdict) (Entry, error) {
+func writeAndResolve(ctx context.Context, w writer, key string, write func(context.Context) (Entry, error), classify func(Entry) writeState) (Entry, error) {
 	written, err := write(ctx)
 	if !errors.Is(err, ErrAmbiguous) {
 		return written, err
 	}
-	ctx, cancel := context.WithTimeout(Urgent(ctx), settleTimeout)
+	ctx, cancel := context.WithTimeout(Urgent(ctx), resolveTimeout)
 	defer cancel()
-	for try := 0; ctx.Err() == nil; try++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		found, readErr := readBack(ctx, w, key)
 		switch {
 		case readErr != nil:
-		case judge(found) == applied:
+		case classify(found) == applied:
 			return found, nil
-		case judge(found) == overtaken:
+		case classify(found) == superseded:
 			return Entry{}, err
 		default:
 			if written, writeErr := write(ctx); writeErr == nil {
 				return written, nil
 			}
 		}
-		pause.For(ctx, backoff(try, rand.Float64()))
+		pause.For(ctx, backoff(attempt, rand.Float64()))
 	}
 	return Entry{}, err
 }
@@ -83,33 +83,33 @@
 
 func newNonce() uint64 { return rand.Uint64() | 1 }
 
-// verdict is what reading a key back tells of a write whose answer was lost.
-type verdict int
+// writeState is what reading a key back tells of a write whose answer was lost.
+type writeState int
 
 const (
-	applied   verdict = iota // the write took effect
-	pending                  // it has not, and may yet
-	overtaken                // the key moved on; whether through this write is unknown
+	applied    writeState = iota // the write took effect
+	pending                      // it has not, and may yet
+	superseded                   // the key moved on; whether through this write is unknown
 )
 
-// judgeSwap tells what a key shows of a swap at version under a nonce.
-func judgeSwap(found Entry, version, nonce uint64) verdict {
+// swapState tells what a key shows of a swap at version under a nonce.
+func swapState(found Entry, version, nonce uint64) writeState {
 	switch {
 	case found.Nonce == nonce:
 		return applied
 	case found.Version == version:
 		return pending
 	}
-	return overtaken
+	return superseded
 }
 
-// judgeAcquire tells what a key shows of an acquisition under a lease.
-func judgeAcquire(found Entry, lease Lease) verdict {
+// acquireState tells what a key shows of an acquisition under a lease.
+func acquireState(found Entry, lease Lease) writeState {
 	switch found.Lease {
 	case lease.ID:
 		return applied
 	case "":
 		return pending
 	}
-	return overtaken
+	return superseded
 }
--- a/kvstore/settle_test.go
+++ b/kvstore/resolve_test.go
@@ -9,10 +9,10 @@
 
 // scriptedWriter loses the answer of its first swap. The rest is the case's.
 type scriptedWriter struct {
-	swaps   int
-	retried error // of the swaps after the first
-	found   Entry // what reading back shows
-	readErr error
+	swaps    int
+	retryErr error // of the swaps after the first
+	found    Entry // what reading back shows
+	readErr  error
 }
 
 func (w *scriptedWriter) Get(context.Context, string) (Entry, error) { return w.found, w.readErr }
@@ -22,14 +22,14 @@
 	if w.swaps == 1 {
 		return Entry{}, ErrAmbiguous
 	}
-	return Entry{Version: 9, Nonce: a.nonce}, w.retried
+	return Entry{Version: 9, Nonce: a.nonce}, w.retryErr
 }
 
 func (w *scriptedWriter) acquireOnce(context.Context, acquireArgs) (Entry, error) {
 	return Entry{}, ErrAmbiguous
 }
 
-func TestSettleSaysOnlyWhatItKnows(t *testing.T) {
+func TestSwapAndResolveReportsOnlyProvenOutcomes(t *testing.T) {
 	cases := []struct {
 		name  string
 		w     scriptedWriter
@@ -40,12 +40,12 @@
 		{"nothing happened yet, so it is sent again", scriptedWriter{found: Entry{Version: 3}}, nil, 2},
 		{"another write came after, perhaps upon ours", scriptedWriter{found: Entry{Version: 8, Nonce: 5}}, ErrAmbiguous, 1},
 		{"the store stays away", scriptedWriter{readErr: ErrUnavailable}, ErrAmbiguous, 1},
-		{"the store takes no write any more", scriptedWriter{found: Entry{Version: 3}, retried: ErrUnavailable}, ErrAmbiguous, 0},
+		{"the store takes no write any more", scriptedWriter{found: Entry{Version: 3}, retryErr: ErrUnavailable}, ErrAmbiguous, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			_, err := settleSwap(context.Background(), &c.w, swapArgs{key: "k", version: 3, nonce: 7})
+			_, err := swapAndResolve(context.Background(), &c.w, swapArgs{key: "k", version: 3, nonce: 7})
 			must.ErrorIs(t, err, c.want)
 			if c.swaps > 0 {
 				must.Eq(t, c.swaps, c.w.swaps)
--- a/kvstore/watch.go
+++ b/kvstore/watch.go
@@ -11,51 +11,51 @@
 // Watch implements Store. A watch that ends without a change is answered
 // without the value, which may be long, and the entry at hand is returned.
 func (g *Guard) Watch(ctx context.Context, key string, after uint64) (Entry, error) {
-	known, found := g.known(key, after)
+	cached, found := g.cachedEntry(key, after)
 	if !found {
 		return g.watchValue(ctx, key, after)
 	}
 	var index uint64
-	err := g.do(ctx, watchCall, watchWait+watchSlack, func(ctx context.Context) (err error) {
+	err := g.do(ctx, watchKind, storeWatchWait+watchGrace, func(ctx context.Context) (err error) {
 		index, err = g.client.watchIndex(ctx, key, after)
 		return err
 	})
 	if err != nil || index == after {
-		return known, err
+		return cached, err
 	}
 	e, err := g.Get(Urgent(ctx), key)
 	if errors.Is(err, ErrNotFound) {
 		e, err = Entry{Key: key}, nil
 	}
 	if err == nil {
-		g.remember(e)
+		g.cacheEntry(e)
 	}
 	return e, err
 }
 
 // watchValue watches a key whose value at after is not at hand.
 func (g *Guard) watchValue(ctx context.Context, key string, after uint64) (e Entry, err error) {
-	err = g.do(ctx, watchCall, watchWait+watchSlack, func(ctx context.Context) error {
+	err = g.do(ctx, watchKind, storeWatchWait+watchGrace, func(ctx context.Context) error {
 		e, err = g.client.Watch(ctx, key, after)
 		return err
 	})
 	if err == nil {
-		g.remember(e)
+		g.cacheEntry(e)
 	}
 	return e, err
 }
 
-func (g *Guard) known(key string, version uint64) (Entry, bool) {
+func (g *Guard) cachedEntry(key string, version uint64) (Entry, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e, found := g.watched[key]
+	e, found := g.watchCache[key]
 	return e, found && e.Version == version
 }
 
-func (g *Guard) remember(e Entry) {
+func (g *Guard) cacheEntry(e Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.watched[e.Key] = e
+	g.watchCache[e.Key] = e
 }
 
 // watchIndex waits until the key's version differs from after or the store's
@@ -63,7 +63,7 @@
 func (c *Client) watchIndex(ctx context.Context, key string, after uint64) (uint64, error) {
 	query := watchQuery(ctx, after)
 	query.Set("keys", "")
-	status, header, _, err := c.callHeader(ctx, http.MethodGet, "/v1/kv/"+key, query, nil)
+	status, header, _, err := c.callWithHeader(ctx, http.MethodGet, "/v1/kv/"+key, query, nil)
 	switch {
 	case err != nil:
 		return 0, failure(ErrUnavailable, err)
