--- a/config/check.go
+++ b/config/check.go
@@ -16,11 +16,11 @@
 		existing = &Snapshot{}
 	}
 	c := &checker{existing: existing, merged: merge(docs, existing)}
-	c.duplicates(docs)
+	c.checkDuplicates(docs)
 	for i := range docs {
-		c.document(&docs[i])
+		c.checkDocument(&docs[i])
 	}
-	c.teamsInUse(docs)
+	c.checkTeamsInUse(docs)
 	if e := apierr.Join(c.mistakes); e != nil {
 		return e
 	}
@@ -57,20 +57,20 @@
 	return docs
 }
 
-// settleOut returns docs in which every failure domain is said to be out or in:
+// resolveOut returns docs in which every failure domain is said to be out or in:
 // a document that leaves it open takes what is in force, so that applying it
 // again does not bring back a failure domain that was taken out meanwhile.
-func settleOut(docs []Document, existing *Snapshot) []Document {
-	settled := make([]Document, len(docs))
+func resolveOut(docs []Document, existing *Snapshot) []Document {
+	resolved := make([]Document, len(docs))
 	for i, d := range docs {
-		if d.keepOut {
+		if d.outOmitted {
 			fd := *d.FailureDomain
 			fd.Out = existing.FailureDomains[fd.Name].Out
-			d.FailureDomain, d.keepOut = &fd, false
+			d.FailureDomain, d.outOmitted = &fd, false
 		}
-		settled[i] = d
+		resolved[i] = d
 	}
-	return settled
+	return resolved
 }
 
 // merge returns existing with docs added or replaced.
@@ -107,7 +107,7 @@
 	mistakes []*apierr.Error
 }
 
-func (c *checker) add(d *Document, field, message, remedy string) {
+func (c *checker) addMistake(d *Document, field, message, remedy string) {
 	path := d.path
 	if path != "" && field != "" {
 		path += "."
@@ -122,55 +122,55 @@
 	c.mistakes = append(c.mistakes, e)
 }
 
-func (c *checker) duplicates(docs []Document) {
+func (c *checker) checkDuplicates(docs []Document) {
 	seen := map[string]bool{}
 	for i := range docs {
 		id := docs[i].ID()
 		if seen[id] {
-			c.add(&docs[i], "name", "document appears twice", "keep one of the two")
+			c.addMistake(&docs[i], "name", "document appears twice", "keep one of the two")
 		}
 		seen[id] = true
 	}
 }
 
-func (c *checker) document(d *Document) {
+func (c *checker) checkDocument(d *Document) {
 	switch d.Kind {
 	case KindOrganisation:
-		c.organisation(d, d.Organisation)
+		c.checkOrganisation(d, d.Organisation)
 	case KindService:
-		c.service(d, d.Service)
+		c.checkService(d, d.Service)
 	}
 }
 
-func (c *checker) organisation(d *Document, o *Organisation) {
+func (c *checker) checkOrganisation(d *Document, o *Organisation) {
 	teams := map[string]bool{}
 	for i, t := range o.Teams {
 		if teams[t.Name] {
-			c.add(d, fmt.Sprintf("teams[%d].name", i), "team "+t.Name+" appears twice", "keep one of the two")
+			c.addMistake(d, fmt.Sprintf("teams[%d].name", i), "team "+t.Name+" appears twice", "keep one of the two")
 		}
 		teams[t.Name] = true
 	}
-	c.tokens(d, o)
-	c.guarantees(d, o)
+	c.checkTokens(d, o)
+	c.checkGuarantees(d, o)
 }
 
-// tokens refuses a hash that stands for two organisations: its bearer's
+// checkTokens refuses a hash that stands for two organisations: its bearer's
 // identity would be a matter of chance.
-func (c *checker) tokens(d *Document, o *Organisation) {
+func (c *checker) checkTokens(d *Document, o *Organisation) {
 	seen := map[string]bool{}
 	for i, hash := range o.TokenHashes {
 		field := fmt.Sprintf("tokenHashes[%d]", i)
 		if seen[hash] {
-			c.add(d, field, "hash appears twice", "keep one of the two")
+			c.addMistake(d, field, "hash appears twice", "keep one of the two")
 		}
 		seen[hash] = true
-		if c.heldByAnother(o.Name, hash) {
-			c.add(d, field, "hash is in use by another organisation", "make a new token for this organisation")
+		if c.usedByAnother(o.Name, hash) {
+			c.addMistake(d, field, "hash is in use by another organisation", "make a new token for this organisation")
 		}
 	}
 }
 
-func (c *checker) heldByAnother(organisation, hash string) bool {
+func (c *checker) usedByAnother(organisation, hash string) bool {
 	for name, other := range c.merged.Organisations {
 		if name == organisation {
 			continue
@@ -184,54 +184,54 @@
 	return false
 }
 
-func (c *checker) guarantees(d *Document, o *Organisation) {
-	type place struct {
+func (c *checker) checkGuarantees(d *Document, o *Organisation) {
+	type guaranteeKey struct {
 		failureDomain string
 		shape         job.Shape
 	}
-	seen := map[place]bool{}
+	seen := map[guaranteeKey]bool{}
 	for i, g := range o.Guarantees {
 		field := fmt.Sprintf("guarantees[%d]", i)
 		if _, ok := c.merged.FailureDomains[g.FailureDomain]; !ok {
-			c.add(d, field+".failureDomain", "unknown failure domain "+g.FailureDomain, "apply its document first, or in the same call")
+			c.addMistake(d, field+".failureDomain", "unknown failure domain "+g.FailureDomain, "apply its document first, or in the same call")
 		}
-		c.shape(d, field+".shape", g.Shape)
-		p := place{g.FailureDomain, g.Shape}
+		c.checkShape(d, field+".shape", g.Shape)
+		p := guaranteeKey{g.FailureDomain, g.Shape}
 		if seen[p] {
-			c.add(d, field, "the same shape is guaranteed twice in "+g.FailureDomain, "raise count of the first")
+			c.addMistake(d, field, "the same shape is guaranteed twice in "+g.FailureDomain, "raise count of the first")
 		}
 		seen[p] = true
 	}
 }
 
-// shape checks what the ranges of single fields cannot.
-func (c *checker) shape(d *Document, field string, s job.Shape) {
+// checkShape checks what the ranges of single fields cannot.
+func (c *checker) checkShape(d *Document, field string, s job.Shape) {
 	if s.Adjacency == job.SameWorker && s.Accelerators() > maxAcceleratorsPerTask {
 		message := fmt.Sprintf("%d accelerators on one worker", s.Accelerators())
-		c.add(d, field, message, `use adjacency "rack", or a smaller shape`)
+		c.addMistake(d, field, message, `use adjacency "rack", or a smaller shape`)
 	}
 }
 
-func (c *checker) service(d *Document, s *Service) {
+func (c *checker) checkService(d *Document, s *Service) {
 	if revision, retired := c.existing.Retired[s.Name]; retired {
-		c.add(d, "name", fmt.Sprintf("the name was retired at revision %d", revision), "choose another name")
+		c.addMistake(d, "name", fmt.Sprintf("the name was retired at revision %d", revision), "choose another name")
 	}
 	if old, ok := c.existing.Services[s.Name]; ok && old.Organisation != s.Organisation {
-		c.add(d, "organisation", "a service cannot move from organisation "+old.Organisation, "retire it and create one of another name")
+		c.addMistake(d, "organisation", "a service cannot move from organisation "+old.Organisation, "retire it and create one of another name")
 	}
-	c.owner(d, s)
-	c.templates(d, s)
-	c.requests(d, s)
+	c.checkOwner(d, s)
+	c.checkTemplates(d, s)
+	c.checkRequests(d, s)
 }
 
-func (c *checker) owner(d *Document, s *Service) {
+func (c *checker) checkOwner(d *Document, s *Service) {
 	org, ok := c.merged.Organisations[s.Organisation]
 	if !ok {
-		c.add(d, "organisation", "unknown organisation "+s.Organisation, "apply its document first, or in the same call")
+		c.addMistake(d, "organisation", "unknown organisation "+s.Organisation, "apply its document first, or in the same call")
 		return
 	}
 	if _, ok := findTeam(org, s.Team); !ok {
-		c.add(d, "team", "organisation "+org.Name+" has no team "+s.Team, "add the team to the organisation's document")
+		c.addMistake(d, "team", "organisation "+org.Name+" has no team "+s.Team, "add the team to the organisation's document")
 	}
 }
 
@@ -244,24 +244,24 @@
 	return Team{}, false
 }
 
-func (c *checker) templates(d *Document, s *Service) {
+func (c *checker) checkTemplates(d *Document, s *Service) {
 	team, _ := findTeam(c.merged.Organisations[s.Organisation], s.Team)
 	seen := map[string]bool{}
 	for i, t := range s.Jobs {
 		field := fmt.Sprintf("jobs[%d]", i)
 		if seen[t.Name] {
-			c.add(d, field+".name", "job template "+t.Name+" appears twice", "keep one of the two")
+			c.addMistake(d, field+".name", "job template "+t.Name+" appears twice", "keep one of the two")
 		}
 		seen[t.Name] = true
-		c.shape(d, field+".shape", t.Shape)
+		c.checkShape(d, field+".shape", t.Shape)
 		if n := t.Shape.Accelerators(); team.Quota > 0 && n > team.Quota {
 			message := fmt.Sprintf("%d accelerators exceed the quota of team %s, %d", n, team.Name, team.Quota)
-			c.add(d, field+".shape", message, "shrink the shape or raise the quota")
+			c.addMistake(d, field+".shape", message, "shrink the shape or raise the quota")
 		}
 	}
 }
 
-func (c *checker) requests(d *Document, s *Service) {
+func (c *checker) checkRequests(d *Document, s *Service) {
 	if s.Requests == nil {
 		return
 	}
@@ -269,18 +269,18 @@
 	for i, name := range s.Requests.ShareWith {
 		field := fmt.Sprintf("requests.shareWith[%d]", i)
 		if seen[name] {
-			c.add(d, field, "organisation "+name+" may call already", "remove it")
+			c.addMistake(d, field, "organisation "+name+" may call already", "remove it")
 		}
 		seen[name] = true
 		if _, ok := c.merged.Organisations[name]; !ok {
-			c.add(d, field, "unknown organisation "+name, "apply its document first, or in the same call")
+			c.addMistake(d, field, "unknown organisation "+name, "apply its document first, or in the same call")
 		}
 	}
 }
 
-// teamsInUse refuses an organisation's document that drops a team, or lowers a
+// checkTeamsInUse refuses an organisation's document that drops a team, or lowers a
 // quota, under a service that is not itself replaced in the same edit.
-func (c *checker) teamsInUse(docs []Document) {
+func (c *checker) checkTeamsInUse(docs []Document) {
 	replaced := map[string]bool{}
 	for i := range docs {
 		replaced[docs[i].ID()] = true
@@ -292,22 +292,22 @@
 		for _, name := range sortedNames(c.existing.Services) {
 			s := c.existing.Services[name]
 			if s.Organisation == docs[i].Name() && !replaced[string(KindService)+"/"+name] {
-				c.teamOf(&docs[i], &s)
+				c.checkTeamOf(&docs[i], &s)
 			}
 		}
 	}
 }
 
-func (c *checker) teamOf(d *Document, s *Service) {
+func (c *checker) checkTeamOf(d *Document, s *Service) {
 	team, ok := findTeam(*d.Organisation, s.Team)
 	if !ok {
-		c.add(d, "teams", "team "+s.Team+" owns service "+s.Name, "keep the team, or retire or move the service first")
+		c.addMistake(d, "teams", "team "+s.Team+" owns service "+s.Name, "keep the team, or retire or move the service first")
 		return
 	}
 	for _, t := range s.Jobs {
 		if n := t.Shape.Accelerators(); team.Quota > 0 && n > team.Quota {
 			message := fmt.Sprintf("quota %d of team %s is below job template %s of service %s, %d accelerators", team.Quota, team.Name, t.Name, s.Name, n)
-			c.add(d, "teams", message, "raise the quota or shrink the template first")
+			c.addMistake(d, "teams", message, "raise the quota or shrink the template first")
 		}
 	}
 }
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-const good = `[
+const validDocuments = `[
   {"kind": "failure-domain", "name": "fd-a", "region": "east"},
   {"kind": "organisation", "name": "pwani", "tokenHashes": ["` + hashA + `"],
    "teams": [{"name": "levy", "quota": 64}],
@@ -35,8 +35,8 @@
 	return docs
 }
 
-func TestCheckDocuments_AcceptsGoodOnes(t *testing.T) {
-	docs := parse(t, good)
+func TestCheckDocuments_AcceptsValidDocuments(t *testing.T) {
+	docs := parse(t, validDocuments)
 	must.NoError(t, CheckDocuments(docs, nil))
 	snap := merge(docs, &Snapshot{})
 	must.NoError(t, CheckSnapshot(snap))
@@ -60,15 +60,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := CheckDocuments(parse(t, strings.Replace(good, c.edit, c.with, 1)), nil)
+			err := CheckDocuments(parse(t, strings.Replace(validDocuments, c.edit, c.with, 1)), nil)
 			must.StrContains(t, err.Error(), c.want)
 			must.NotEq(t, "", apierr.Flatten(err)[0].Remedy)
 		})
 	}
 }
 
-func TestCheckDocuments_MistakesAgainstThoseInForce(t *testing.T) {
-	inForce := merge(parse(t, good), &Snapshot{})
+func TestCheckDocuments_MistakesAgainstDocumentsInForce(t *testing.T) {
+	inForce := merge(parse(t, validDocuments), &Snapshot{})
 	inForce.Retired = map[string]uint64{"levies": 7}
 	cases := []struct{ name, text, want string }{
 		{"retired name", `{"kind": "service", "name": "levies", "organisation": "pwani", "team": "levy"}`, "retired at revision 7"},
@@ -86,7 +86,7 @@
 }
 
 // Applying a file again must not bring back what operators took out meanwhile.
-func TestSettleOut_DocumentThatDoesNotSayKeepsTheState(t *testing.T) {
+func TestResolveOut_OmittedFieldKeepsStateInForce(t *testing.T) {
 	inForce := &Snapshot{FailureDomains: map[string]FailureDomain{"fd-a": {Name: "fd-a", Region: "east", Out: true}}}
 	cases := []struct {
 		text string
@@ -99,9 +99,9 @@
 	for _, c := range cases {
 		sent, err := json.Marshal(parse(t, c.text)[0])
 		must.NoError(t, err)
-		settled := settleOut(parse(t, string(sent)), inForce)
-		must.Eq(t, c.out, settled[0].FailureDomain.Out, must.Sprint(c.text))
-		stored, err := json.Marshal(settled[0])
+		resolved := resolveOut(parse(t, string(sent)), inForce)
+		must.Eq(t, c.out, resolved[0].FailureDomain.Out, must.Sprint(c.text))
+		stored, err := json.Marshal(resolved[0])
 		must.NoError(t, err)
 		must.StrContains(t, string(stored), `"out":`)
 	}
--- a/config/manifest.go
+++ b/config/configuration.go
@@ -24,8 +24,8 @@
 // read with every edit, repeats it for each document.
 const hashBytes = 16
 
-// hashOf names content by the first half of its SHA-256.
-func hashOf(content []byte) string {
+// contentHash names content by the first half of its SHA-256.
+func contentHash(content []byte) string {
 	sum := sha256.Sum256(content)
 	return base64.RawURLEncoding.EncodeToString(sum[:hashBytes])
 }
@@ -35,25 +35,25 @@
 // returns, so it can be deleted.
 func newReference(hash, nonce string) string { return hash + "." + nonce }
 
-// hashIn returns the hash in a reference.
-func hashIn(reference string) string {
+// referenceHash returns the hash in a reference.
+func referenceHash(reference string) string {
 	hash, _, _ := strings.Cut(reference, ".")
 	return hash
 }
 
-// edition is one revision in full: the manifest, the documents and the snapshot
+// configuration is one revision in full: the manifest, the documents and the snapshot
 // made of them. It is immutable.
-type edition struct {
+type configuration struct {
 	manifest manifest
 	hash     string            // of the manifest's encoding
 	content  map[string][]byte // documents by hash
 	snap     *Snapshot
 }
 
-// emptyEdition is what a host knows before it has read anything.
-func emptyEdition() *edition {
+// emptyConfiguration is what a host knows before it has read anything.
+func emptyConfiguration() *configuration {
 	m := manifest{Documents: map[string]string{}, Retired: map[string]uint64{}}
-	return &edition{manifest: m, content: map[string][]byte{}, snap: newSnapshot(m)}
+	return &configuration{manifest: m, content: map[string][]byte{}, snap: newSnapshot(m)}
 }
 
 func newSnapshot(m manifest) *Snapshot {
@@ -71,26 +71,26 @@
 // assemble makes an edition out of a manifest and at least the content that it
 // names. A document that is missing or damaged fails the whole edition: it is
 // never taken for a retirement.
-func assemble(m manifest, content map[string][]byte) (*edition, error) {
+func assemble(m manifest, content map[string][]byte) (*configuration, error) {
 	raw, err := m.encode()
 	if err != nil {
 		return nil, err
 	}
-	e := &edition{manifest: m, hash: hashOf(raw), content: make(map[string][]byte, len(m.Documents)), snap: newSnapshot(m)}
+	e := &configuration{manifest: m, hash: contentHash(raw), content: make(map[string][]byte, len(m.Documents)), snap: newSnapshot(m)}
 	for id, reference := range m.Documents {
-		hash := hashIn(reference)
+		hash := referenceHash(reference)
 		body, ok := content[hash]
-		if !ok || hashOf(body) != hash {
+		if !ok || contentHash(body) != hash {
 			return nil, errors.Newf("revision %d: document %s is missing or damaged", m.Revision, id)
 		}
-		if err := e.add(hash, body); err != nil {
+		if err := e.addDocument(hash, body); err != nil {
 			return nil, errors.Wrapf(err, "revision %d: document %s", m.Revision, id)
 		}
 	}
 	return e, nil
 }
 
-func (e *edition) add(hash string, body []byte) error {
+func (e *configuration) addDocument(hash string, body []byte) error {
 	var d Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return err
@@ -109,7 +109,7 @@
 
 // addService keeps a retired service's last document apart: it tells whose
 // callers may learn of the retirement.
-func (e *edition) addService(s Service) {
+func (e *configuration) addService(s Service) {
 	if _, retired := e.snap.Retired[s.Name]; retired {
 		e.snap.RetiredServices[s.Name] = s
 		return
@@ -117,9 +117,9 @@
 	e.snap.Services[s.Name] = s
 }
 
-// next returns the edition that follows e with docs added or replaced and
+// withEdit returns the edition that follows e with docs added or replaced and
 // services retired, or e itself when that changes nothing. nonce is the edit's.
-func (e *edition) next(docs []Document, retired []string, nonce string) (*edition, error) {
+func (e *configuration) withEdit(docs []Document, retired []string, nonce string) (*configuration, error) {
 	m := manifest{
 		Revision:  e.manifest.Revision + 1,
 		Documents: maps.Clone(e.manifest.Documents),
@@ -131,9 +131,9 @@
 		if err != nil {
 			return nil, err
 		}
-		hash := hashOf(body)
+		hash := contentHash(body)
 		content[hash] = body
-		if hashIn(m.Documents[d.ID()]) != hash {
+		if referenceHash(m.Documents[d.ID()]) != hash {
 			m.Documents[d.ID()] = newReference(hash, nonce)
 		}
 	}
@@ -146,8 +146,8 @@
 	return assemble(m, content)
 }
 
-// dropped lists the references of base that e no longer has.
-func (e *edition) dropped(base *edition) []string {
+// droppedReferences lists the references of base that e no longer has.
+func (e *configuration) droppedReferences(base *configuration) []string {
 	var out []string
 	for id, reference := range base.manifest.Documents {
 		if e.manifest.Documents[id] != reference {
@@ -170,7 +170,7 @@
 }
 
 // deltaFrom returns what leads from an older manifest to e.
-func (e *edition) deltaFrom(old manifest) *Delta {
+func (e *configuration) deltaFrom(old manifest) *Delta {
 	d := &Delta{
 		From:      old.Revision,
 		Revision:  e.manifest.Revision,
@@ -182,7 +182,7 @@
 	for id, reference := range e.manifest.Documents {
 		if old.Documents[id] != reference {
 			d.Documents[id] = reference
-			d.Content[hashIn(reference)] = e.content[hashIn(reference)]
+			d.Content[referenceHash(reference)] = e.content[referenceHash(reference)]
 		}
 	}
 	for id := range old.Documents {
@@ -198,12 +198,12 @@
 	return d
 }
 
-// apply returns the edition that d leads to from e, which must be at d.From
+// applyDelta returns the edition that d leads to from e, which must be at d.From
 // unless d is whole.
-func (e *edition) apply(d *Delta) (*edition, error) {
+func (e *configuration) applyDelta(d *Delta) (*configuration, error) {
 	base := e
 	if d.From == 0 {
-		base = emptyEdition()
+		base = emptyConfiguration()
 	}
 	if base.manifest.Revision != d.From {
 		return nil, errors.Newf("change from revision %d does not fit revision %d", d.From, base.manifest.Revision)
--- a/config/distribute.go
+++ b/config/distributor.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// readInterval is the time between freshness reads of a scheduler. They
+	// schedulerReadInterval is the time between freshness reads of a scheduler. They
 	// overlap, so that a slow platform delays what is known without stopping it.
-	readInterval = 500 * time.Millisecond
-	// relayInterval is the same for a host that only passes the news on.
-	relayInterval = time.Second
-	readTimeout   = 2 * time.Second
-	maxReads      = 4 // in flight at once
+	schedulerReadInterval = 500 * time.Millisecond
+	// relayReadInterval is the same for a host that only passes the news on.
+	relayReadInterval = time.Second
+	headReadTimeout   = 2 * time.Second
+	maxReadsInFlight  = 4 // in flight at once
 	// fetchTimeout bounds the fetching of a whole revision.
 	fetchTimeout = 10 * time.Second
 	// staleAfter is the age from which a host also asks its peers.
-	staleAfter      = 2 * time.Second
-	askPeerInterval = 2 * time.Second
-	// keptManifests is how many past manifests are kept to answer peers with
+	staleAfter        = 2 * time.Second
+	peerFetchInterval = 2 * time.Second
+	// maxPastManifests is how many past manifests are kept to answer peers with
 	// changes alone.
-	keptManifests = 64
+	maxPastManifests = 64
 )
 
 // Options configures a Distributor.
@@ -59,30 +59,30 @@
 // each failure domain reads the platform, and the others ask that one, unless
 // it fails them. It is safe for concurrent use.
 type Distributor struct {
-	opts    Options
-	archive archive
+	opts       Options
+	repository repository
 
-	mu        sync.Mutex
-	current   *edition
-	confirmed time.Time  // local time before the platform was asked
-	past      []manifest // oldest first, without the current one
-	changed   chan struct{}
-	reads     int       // freshness reads in flight
-	lastRead  time.Time // when the last one was sent
-	fetching  uint64    // revision being fetched; 0: none
-	relayOff  time.Time // until then the relay is not asked
-	polling   bool      // a call to the relay is in flight
-	asked     time.Time // when a peer was last asked because of staleness
-	work      sync.WaitGroup
+	mu                sync.Mutex
+	current           *configuration
+	confirmed         time.Time  // local time before the platform was asked
+	pastManifests     []manifest // oldest first, without the current one
+	changed           chan struct{}
+	readsInFlight     int       // freshness reads in flight
+	lastReadSent      time.Time // when the last one was sent
+	fetchingRevision  uint64    // revision being fetched; 0: none
+	relayRetryAt      time.Time // until then the relay is not asked
+	relayPollInFlight bool      // a call to the relay is in flight
+	lastPeerFetch     time.Time // when a peer was last asked because of staleness
+	calls             sync.WaitGroup
 }
 
 // NewDistributor returns a distributor that knows nothing; call Run.
 func NewDistributor(opts Options) *Distributor {
 	d := &Distributor{
-		opts:    opts.withDefaults(),
-		archive: archive{store: opts.Store},
-		current: emptyEdition(),
-		changed: make(chan struct{}),
+		opts:       opts.withDefaults(),
+		repository: repository{store: opts.Store},
+		current:    emptyConfiguration(),
+		changed:    make(chan struct{}),
 	}
 	d.opts.Metrics.GetOrCreateGauge("cyclamentray_config_revision", func() float64 { return float64(d.newest().manifest.Revision) })
 	d.opts.Metrics.GetOrCreateGauge("cyclamentray_config_age_seconds", func() float64 { return d.Age().Seconds() })
@@ -115,7 +115,7 @@
 	return d.opts.Now().Sub(confirmed)
 }
 
-func (d *Distributor) newest() *edition {
+func (d *Distributor) newest() *configuration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
@@ -123,7 +123,7 @@
 
 // Run keeps the configuration up to date until ctx ends. It returns nil.
 func (d *Distributor) Run(ctx context.Context) error {
-	ticker := time.NewTicker(readInterval)
+	ticker := time.NewTicker(schedulerReadInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		d.tick(ctx)
@@ -132,57 +132,57 @@
 		case <-ctx.Done():
 		}
 	}
-	d.work.Wait()
+	d.calls.Wait()
 	return nil
 }
 
 func (d *Distributor) tick(ctx context.Context) {
-	relay := d.relay()
-	w := d.due(d.opts.Now(), relay != "", d.opts.Direct())
-	if w.read {
-		d.work.Go(func() { d.readHead(ctx) })
+	relay := d.relayAddress()
+	plan := d.planTick(d.opts.Now(), relay != "", d.opts.Direct())
+	if plan.readHead {
+		d.calls.Go(func() { d.readHead(ctx) })
 	}
-	if w.poll {
-		d.work.Go(func() { d.pollRelay(ctx, relay) })
+	if plan.pollRelay {
+		d.calls.Go(func() { d.pollRelay(ctx, relay) })
 	}
-	if w.ask {
-		d.work.Go(func() { d.askPeer(ctx) })
+	if plan.fetchFromPeer {
+		d.calls.Go(func() { d.fetchFromRandomPeer(ctx) })
 	}
 }
 
-// dueWork is what a tick starts.
-type dueWork struct {
-	read bool // read the head from the platform
-	poll bool // ask the relay
-	ask  bool // ask any peer, as nothing was confirmed lately
+// tickPlan is what a tick starts.
+type tickPlan struct {
+	readHead      bool // read the head from the platform
+	pollRelay     bool // ask the relay
+	fetchFromPeer bool // ask any peer, as nothing was confirmed lately
 }
 
-// due decides what to start at now, and marks it as started.
-func (d *Distributor) due(now time.Time, hasRelay, schedules bool) (w dueWork) {
+// planTick decides what to start at now, and marks it as started.
+func (d *Distributor) planTick(now time.Time, hasRelay, schedules bool) (plan tickPlan) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	direct := schedules || !hasRelay || now.Before(d.relayOff)
-	rested := schedules || now.Sub(d.lastRead) >= relayInterval-readInterval/2
-	if direct && rested && d.reads < maxReads {
-		w.read = true
-		d.reads++
-		d.lastRead = now
+	direct := schedules || !hasRelay || now.Before(d.relayRetryAt)
+	intervalElapsed := schedules || now.Sub(d.lastReadSent) >= relayReadInterval-schedulerReadInterval/2
+	if direct && intervalElapsed && d.readsInFlight < maxReadsInFlight {
+		plan.readHead = true
+		d.readsInFlight++
+		d.lastReadSent = now
 	}
-	if !direct && !d.polling {
-		w.poll = true
-		d.polling = true
+	if !direct && !d.relayPollInFlight {
+		plan.pollRelay = true
+		d.relayPollInFlight = true
 	}
-	if now.Sub(d.confirmed) > staleAfter && now.Sub(d.asked) >= askPeerInterval {
-		w.ask = true
-		d.asked = now
+	if now.Sub(d.confirmed) > staleAfter && now.Sub(d.lastPeerFetch) >= peerFetchInterval {
+		plan.fetchFromPeer = true
+		d.lastPeerFetch = now
 	}
-	return w
+	return plan
 }
 
-// relay returns the address of the neighbour that reads the platform for this
+// relayAddress returns the address of the neighbour that reads the platform for this
 // failure domain: the first by name that neither leaves nor is silent. It is
 // empty when that is this host.
-func (d *Distributor) relay() string {
+func (d *Distributor) relayAddress() string {
 	if d.opts.Members == nil || d.opts.Peers == nil {
 		return ""
 	}
@@ -199,27 +199,27 @@
 func (d *Distributor) readHead(ctx context.Context) {
 	defer func() {
 		d.mu.Lock()
-		d.reads--
+		d.readsInFlight--
 		d.mu.Unlock()
 	}()
-	callCtx, cancel := context.WithTimeout(kvstore.Urgent(ctx), readTimeout)
+	callCtx, cancel := context.WithTimeout(kvstore.Urgent(ctx), headReadTimeout)
 	defer cancel()
 	sent := d.opts.Now()
-	h, _, err := d.archive.head(callCtx)
+	h, _, err := d.repository.readHead(callCtx)
 	if err != nil {
 		d.opts.Metrics.GetOrCreateCounter("cyclamentray_config_read_failures_total").Inc()
 		return
 	}
-	if d.confirm(h, sent) {
+	if d.confirmHead(h, sent) {
 		return
 	}
-	d.fetch(ctx, h, sent)
+	d.fetchRevision(ctx, h, sent)
 }
 
-// confirm notes that the platform named the current edition as the newest at
+// confirmHead notes that the platform named the current edition as the newest at
 // sent. It returns false when the platform named a newer one. An older one is
 // a stale answer and counts for nothing.
-func (d *Distributor) confirm(h head, sent time.Time) bool {
+func (d *Distributor) confirmHead(h head, sent time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -233,31 +233,31 @@
 	return true
 }
 
-// fetch reads a newer edition whole. One fetch of a revision runs at a time.
-func (d *Distributor) fetch(ctx context.Context, h head, sent time.Time) {
+// fetchRevision reads a newer edition whole. One fetchRevision of a revision runs at a time.
+func (d *Distributor) fetchRevision(ctx context.Context, h head, sent time.Time) {
 	d.mu.Lock()
-	if d.fetching >= h.Revision {
+	if d.fetchingRevision >= h.Revision {
 		d.mu.Unlock()
 		return
 	}
-	d.fetching = h.Revision
+	d.fetchingRevision = h.Revision
 	known := d.current
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	if known.manifest.Revision == 0 { // a booting host spares the platform hundreds of reads
-		d.askPeer(ctx)
+		d.fetchFromRandomPeer(ctx)
 		known = d.newest()
 	}
-	next, err := d.archive.load(ctx, h, known)
+	next, err := d.repository.load(ctx, h, known)
 	if err == nil {
 		d.adopt(next, sent)
 	} else {
 		d.opts.Logger.Warn("revision not taken", "revision", h.Revision, "err", err)
 	}
 	d.mu.Lock()
-	if d.fetching == h.Revision {
-		d.fetching = 0
+	if d.fetchingRevision == h.Revision {
+		d.fetchingRevision = 0
 	}
 	d.mu.Unlock()
 }
@@ -265,16 +265,16 @@
 // adopt puts an edition in force if it is newer than the current one.
 // confirmed is when the platform is known to have named it as the newest; zero
 // when it is not known.
-func (d *Distributor) adopt(next *edition, confirmed time.Time) {
+func (d *Distributor) adopt(next *configuration, confirmed time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if next.manifest.Revision < d.current.manifest.Revision {
 		return
 	}
 	if next.manifest.Revision > d.current.manifest.Revision {
-		d.past = append(d.past, d.current.manifest)
-		if len(d.past) > keptManifests {
-			d.past = d.past[1:]
+		d.pastManifests = append(d.pastManifests, d.current.manifest)
+		if len(d.pastManifests) > maxPastManifests {
+			d.pastManifests = d.pastManifests[1:]
 		}
 		d.current = next
 		close(d.changed)
@@ -286,8 +286,8 @@
 	}
 }
 
-// askPeer asks one peer for a newer edition while the platform is not heard.
-func (d *Distributor) askPeer(ctx context.Context) {
+// fetchFromRandomPeer asks one peer for a newer edition while the platform is not heard.
+func (d *Distributor) fetchFromRandomPeer(ctx context.Context) {
 	if d.opts.Peers == nil {
 		return
 	}
@@ -298,6 +298,6 @@
 		}
 	}
 	if len(addresses) > 0 {
-		_ = d.ask(ctx, addresses[rand.IntN(len(addresses))], 0)
+		_ = d.fetchFromPeer(ctx, addresses[rand.IntN(len(addresses))], 0)
 	}
 }
--- a/config/distribute_test.go
+++ b/config/distributor_test.go
@@ -13,7 +13,7 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-func TestEditReachesEveryHostWhileOneOfEachFailureDomainReads(t *testing.T) {
+func TestEditReachesEveryHostThroughRelays(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	f.start()
 	ctx := context.Background()
@@ -28,7 +28,7 @@
 		}
 		return true
 	})
-	before := f.stand.Calls()["get"]
+	before := f.store.Calls()["get"]
 	for range 4 {
 		revision, err = f.editor(5).SetFailureDomain(ctx, "n1", revision%2 == 1)
 		must.NoError(t, err)
@@ -36,7 +36,7 @@
 		t.Logf("in force on 12 hosts after %v", took)
 		time.Sleep(500 * time.Millisecond)
 	}
-	t.Logf("%d reads in about 2 s and 4 edits", f.stand.Calls()["get"]-before)
+	t.Logf("%d reads in about 2 s and 4 edits", f.store.Calls()["get"]-before)
 }
 
 func TestRevisionNeverReverts(t *testing.T) {
@@ -53,11 +53,11 @@
 			_, err := f.editor(0).Apply(ctx, []config.Document{failureDomain("n1")}, 0)
 			must.NoError(t, err)
 			f.awaitRevision(1)
-			f.stand.CopyNow()
+			f.store.CopyNow()
 			revision, err := f.editor(0).SetFailureDomain(ctx, "n1", true)
 			must.NoError(t, err)
 			f.awaitRevision(revision)
-			f.stand.SetFaults(fault)
+			f.store.SetFaults(fault)
 			_, confirmed := f.hosts[0].Current()
 			booted := f.restart(2)                                        // first of its failure domain, so it has no relay
 			f.await(func() bool { return booted.revision() == revision }) // from its peers
@@ -72,10 +72,10 @@
 	}
 }
 
-func TestSlowPlatformKeepsFreshness(t *testing.T) {
+func TestSchedulerStaysFreshWhenPlatformIsSlow(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.schedulers = true
-	f.stand.SetFaults(kv.Faults{Delay: 1300 * time.Millisecond})
+	f.store.SetFaults(kv.Faults{Delay: 1300 * time.Millisecond})
 	f.start()
 	f.await(func() bool { return f.hosts[0].Age() < time.Minute })
 	fresh := 0
@@ -89,7 +89,7 @@
 	must.Greater(t, samples*9/10, fresh)
 }
 
-func TestSilentRelayIsReplacedByOwnReads(t *testing.T) {
+func TestHostReadsPlatformWhenRelayFails(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	f.hosts[1].start() // hosts[0], which the others ask first, answers but never reads
 	f.hosts[2].start()
@@ -105,19 +105,19 @@
 // lossyStore misses every content key but the ones it let through.
 type lossyStore struct {
 	kvstore.Store
-	left atomic.Int32
+	remaining atomic.Int32
 }
 
 func (s *lossyStore) Get(ctx context.Context, key string) (kvstore.Entry, error) {
 	if key != "cyclamentray/config/manifest" {
-		if s.left.Add(-1) < 0 {
+		if s.remaining.Add(-1) < 0 {
 			return kvstore.Entry{}, kvstore.ErrNotFound
 		}
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func TestPartialReadIsNeverARetirement(t *testing.T) {
+func TestMissingContentFailsTheWholeRevision(t *testing.T) {
 	ctx := context.Background()
 	_, store := newStore(t)
 	e := config.NewEditor(config.EditorOptions{Store: store})
@@ -126,7 +126,7 @@
 	for left := range 4 { // the manifest and three documents
 		runCtx, stop := context.WithCancel(ctx)
 		lossy := &lossyStore{Store: store}
-		lossy.left.Store(int32(left))
+		lossy.remaining.Store(int32(left))
 		d := config.NewDistributor(config.Options{Store: lossy})
 		done := make(chan struct{})
 		go func() { defer close(done); _ = d.Run(runCtx) }()
--- a/config/edit.go
+++ b/config/editor.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// maxEditTries bounds how often an edit that names no expected revision is
+	// maxEditAttempts bounds how often an edit that names no expected revision is
 	// put on top of other operators' edits.
-	maxEditTries = 8
-	editBackoff  = 20 * time.Millisecond
+	maxEditAttempts = 8
+	editBackoff     = 20 * time.Millisecond
 )
 
 // EditorOptions configures an Editor.
@@ -36,8 +36,8 @@
 // Editor makes operators' edits. An edit is accepted by one compare-and-swap of
 // the manifest key. It is safe for concurrent use.
 type Editor struct {
-	opts    EditorOptions
-	archive archive
+	opts       EditorOptions
+	repository repository
 }
 
 // NewEditor returns an editor.
@@ -45,24 +45,24 @@
 	opts.Now = defaults.Now(opts.Now)
 	opts.Logger = defaults.Logger(opts.Logger)
 	opts.Metrics = defaults.Metrics(opts.Metrics)
-	return &Editor{opts: opts, archive: archive{store: opts.Store}}
+	return &Editor{opts: opts, repository: repository{store: opts.Store}}
 }
 
-// edit is what an operator asks for, worked out against what is in force.
-type edit func(snap *Snapshot) (docs []Document, retired []string, err error)
+// editFunc is what an operator asks for, worked out against what is in force.
+type editFunc func(snap *Snapshot) (docs []Document, retired []string, err error)
 
 // Apply adds or replaces documents if the configuration is still at revision
 // expected, and returns the new revision. The error is an *apierr.Error.
 func (e *Editor) Apply(ctx context.Context, docs []Document, expected uint64) (uint64, error) {
-	return e.run(ctx, &expected, func(snap *Snapshot) ([]Document, []string, error) {
-		return settleOut(docs, snap), nil, CheckDocuments(docs, snap)
+	return e.runEdit(ctx, &expected, func(snap *Snapshot) ([]Document, []string, error) {
+		return resolveOut(docs, snap), nil, CheckDocuments(docs, snap)
 	})
 }
 
 // Retire ends a service for good, on top of whatever is in force, and returns
 // the revision that retired it.
 func (e *Editor) Retire(ctx context.Context, service string) (uint64, error) {
-	return e.run(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
+	return e.runEdit(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
 		if _, retired := snap.Retired[service]; retired {
 			return nil, nil, nil
 		}
@@ -76,7 +76,7 @@
 // SetFailureDomain takes a failure domain out or brings it back, on top of
 // whatever is in force, and returns the revision.
 func (e *Editor) SetFailureDomain(ctx context.Context, name string, out bool) (uint64, error) {
-	return e.run(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
+	return e.runEdit(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
 		fd, ok := snap.FailureDomains[name]
 		if !ok {
 			return nil, nil, apierr.New(apierr.NotFound, "no failure domain "+name, "list the documents with `cyclamentray documents`")
@@ -86,29 +86,29 @@
 	})
 }
 
-// run tries an edit until it is accepted or refused. With an expected revision
+// runEdit tries an edit until it is accepted or refused. With an expected revision
 // it never goes on top of another. Its calls are urgent: operators wait for it,
 // and a failure domain may have to be out at once.
-func (e *Editor) run(ctx context.Context, expected *uint64, change edit) (uint64, error) {
+func (e *Editor) runEdit(ctx context.Context, expected *uint64, change editFunc) (uint64, error) {
 	ctx = kvstore.Urgent(ctx)
-	for try := range maxEditTries {
-		revision, err := e.try(ctx, expected, change)
+	for attempt := range maxEditAttempts {
+		revision, err := e.tryEdit(ctx, expected, change)
 		if !errors.Is(err, kvstore.ErrConflict) {
-			e.count(err)
-			return revision, typed(err)
+			e.countOutcome(err)
+			return revision, toAPIError(err)
 		}
 		if expected != nil {
 			break
 		}
-		pause.For(ctx, time.Duration(rand.Int64N(int64(editBackoff<<try))))
+		pause.For(ctx, time.Duration(rand.Int64N(int64(editBackoff<<attempt))))
 	}
 	err := apierr.New(apierr.Conflict, "another operator's edit was accepted first", "read the configuration again and apply your change to it")
-	e.count(err)
+	e.countOutcome(err)
 	return 0, err
 }
 
-func (e *Editor) try(ctx context.Context, expected *uint64, change edit) (uint64, error) {
-	h, version, err := e.archive.head(ctx)
+func (e *Editor) tryEdit(ctx context.Context, expected *uint64, change editFunc) (uint64, error) {
+	h, version, err := e.repository.readHead(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -117,7 +117,7 @@
 			fmt.Sprintf("the configuration is at revision %d, not %d", h.Revision, *expected),
 			"read the configuration again and apply your change to it")
 	}
-	base, err := e.archive.load(ctx, h, e.known())
+	base, err := e.repository.load(ctx, h, e.knownConfiguration())
 	if err != nil {
 		return 0, err
 	}
@@ -126,31 +126,31 @@
 		return 0, err
 	}
 	nonce := strconv.FormatUint(uint64(rand.Uint32()), 36)
-	next, err := base.next(docs, retired, nonce)
+	next, err := base.withEdit(docs, retired, nonce)
 	if err != nil || next == base {
 		return base.manifest.Revision, err
 	}
-	if err := e.archive.save(ctx, next, base); err != nil {
+	if err := e.repository.save(ctx, next, base); err != nil {
 		return 0, err
 	}
-	revision, err := e.accept(ctx, next, h, version, nonce)
+	revision, err := e.commitEdit(ctx, next, h, version, nonce)
 	if err == nil {
-		e.archive.clean(ctx, next, base)
+		e.repository.deleteReplaced(ctx, next, base)
 	}
 	return revision, err
 }
 
-// accept swaps the head. That is the moment at which the edit is in force.
-func (e *Editor) accept(ctx context.Context, next *edition, old head, version uint64, nonce string) (uint64, error) {
+// commitEdit swaps the head. That is the moment at which the edit is in force.
+func (e *Editor) commitEdit(ctx context.Context, next *configuration, old head, version uint64, nonce string) (uint64, error) {
 	edits := append(append([]string(nil), old.Edits...), nonce)
-	if len(edits) > recentEdits {
-		edits = edits[len(edits)-recentEdits:]
+	if len(edits) > maxRecentEdits {
+		edits = edits[len(edits)-maxRecentEdits:]
 	}
 	h := head{Revision: next.manifest.Revision, Manifest: next.hash, Edits: edits}
 	sent := e.opts.Now()
-	err := e.archive.swap(ctx, h, version)
+	err := e.repository.swapHead(ctx, h, version)
 	if errors.Is(err, kvstore.ErrAmbiguous) {
-		err = e.settle(ctx, h, nonce, version)
+		err = e.resolveSwap(ctx, h, nonce, version)
 	}
 	if err != nil {
 		return 0, err
@@ -162,61 +162,61 @@
 	return next.manifest.Revision, nil
 }
 
-// settle finds out whether a swap took effect whose answer was lost. While the
+// resolveSwap finds out whether a swap took effect whose answer was lost. While the
 // head is unchanged the swap may still be under way, so the same one is sent
 // again: at most one of them is applied.
-func (e *Editor) settle(ctx context.Context, h head, nonce string, version uint64) error {
+func (e *Editor) resolveSwap(ctx context.Context, h head, nonce string, version uint64) error {
 	for ctx.Err() == nil {
-		now, at, err := e.archive.head(ctx)
+		found, foundVersion, err := e.repository.readHead(ctx)
 		switch {
 		case err != nil:
 			pause.For(ctx, editBackoff)
-		case now.accepted(nonce):
+		case found.includesEdit(nonce):
 			return nil
-		case at != version && now.Revision < h.Revision+recentEdits:
+		case foundVersion != version && found.Revision < h.Revision+maxRecentEdits:
 			return kvstore.ErrConflict
-		case at != version: // too many edits since for the head to tell
-			return errUnsettled
+		case foundVersion != version: // too many edits since for the head to tell
+			return errOutcomeUnknown
 		default:
-			if err := e.archive.swap(ctx, h, version); err == nil {
+			if err := e.repository.swapHead(ctx, h, version); err == nil {
 				return nil
 			}
 		}
 	}
-	return errUnsettled
+	return errOutcomeUnknown
 }
 
-var errUnsettled = apierr.New(apierr.OutcomeUnknown, "the platform's answer was lost, and reading back did not settle it",
+var errOutcomeUnknown = apierr.New(apierr.OutcomeUnknown, "the platform's answer was lost, and reading back did not settle it",
 	"read the configuration and see whether the edit is in it before applying it again")
 
-func (e *Editor) known() *edition {
+func (e *Editor) knownConfiguration() *configuration {
 	if e.opts.Distributor == nil {
-		return emptyEdition()
+		return emptyConfiguration()
 	}
 	return e.opts.Distributor.newest()
 }
 
-func (e *Editor) count(err error) {
+func (e *Editor) countOutcome(err error) {
 	outcome := "accepted"
 	if err != nil {
-		outcome = string(typed(err).(*apierr.Error).Kind)
+		outcome = string(toAPIError(err).(*apierr.Error).Kind)
 	}
 	e.opts.Metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamentray_config_edits_total{outcome=%q}`, outcome)).Inc()
 }
 
-// typed turns a failure of the platform into one that an operator can act on.
-func typed(err error) error {
+// toAPIError turns a failure of the platform into one that an operator can act on.
+func toAPIError(err error) error {
 	var known *apierr.Error
 	switch {
 	case err == nil || errors.As(err, &known):
-		return orNil(known)
+		return errorOrNil(known)
 	case errors.Is(err, kvstore.ErrAmbiguous):
 		return apierr.New(apierr.OutcomeUnknown, "the platform's answer was lost", "read the configuration before applying the edit again")
 	}
 	return apierr.New(apierr.Unavailable, "the platform was not reached, and nothing was changed: "+err.Error(), "apply the edit again when the platform answers")
 }
 
-func orNil(e *apierr.Error) error {
+func errorOrNil(e *apierr.Error) error {
 	if e == nil {
 		return nil
 	}
--- a/config/edit_test.go
+++ b/config/editor_test.go
@@ -27,13 +27,13 @@
 
 func newStore(t *testing.T) (*kv.Server, kvstore.Store) {
 	t.Helper()
-	stand := kv.New()
-	server := httptest.NewServer(stand)
+	platform := kv.New()
+	server := httptest.NewServer(platform)
 	t.Cleanup(server.Close)
-	return stand, kvstore.NewClient(server.URL)
+	return platform, kvstore.NewClient(server.URL)
 }
 
-func TestSecondOperatorUnderOneRevisionGetsConflict(t *testing.T) {
+func TestApplyAtOutdatedRevisionReturnsConflict(t *testing.T) {
 	ctx := context.Background()
 	_, store := newStore(t)
 	e := config.NewEditor(config.EditorOptions{Store: store})
@@ -45,7 +45,7 @@
 	must.StrContains(t, err.Error(), "read the configuration again")
 }
 
-func TestRetirementIsATombstone(t *testing.T) {
+func TestRetiredServiceNameCannotBeReused(t *testing.T) {
 	ctx := context.Background()
 	_, store := newStore(t)
 	d := config.NewDistributor(config.Options{Store: store})
@@ -66,9 +66,9 @@
 	must.Eq(t, apierr.NotFound, apierr.KindOf(err))
 }
 
-func TestContentThatNoRevisionNamesIsDeleted(t *testing.T) {
+func TestUnreferencedContentIsDeleted(t *testing.T) {
 	ctx := context.Background()
-	stand, store := newStore(t)
+	server, store := newStore(t)
 	e := config.NewEditor(config.EditorOptions{Store: store})
 	revision, err := e.Apply(ctx, []config.Document{failureDomain("n1"), failureDomain("n2")}, 0)
 	must.NoError(t, err)
@@ -76,19 +76,19 @@
 		revision, err = e.SetFailureDomain(ctx, "n1", n%2 == 0)
 		must.NoError(t, err)
 	}
-	must.Len(t, 4, stand.Keys())                       // the head, the manifest and two documents
+	must.Len(t, 4, server.Keys())                      // the head, the manifest and two documents
 	again, err := e.SetFailureDomain(ctx, "n1", false) // reads it all, and changes nothing
 	must.NoError(t, err)
 	must.Eq(t, revision, again)
 }
 
-// lateDeleter runs a hook before its first deletion.
-type lateDeleter struct {
+// hookedDeleter runs a hook before its first deletion.
+type hookedDeleter struct {
 	*kvstore.Client
 	before func()
 }
 
-func (s *lateDeleter) Delete(ctx context.Context, key string) error {
+func (s *hookedDeleter) Delete(ctx context.Context, key string) error {
 	if s.before != nil {
 		s.before()
 		s.before = nil
@@ -96,7 +96,7 @@
 	return s.Client.Delete(ctx, key)
 }
 
-func TestLateDeletionSparesTextThatHasReturned(t *testing.T) {
+func TestLateDeletionKeepsRestoredDocument(t *testing.T) {
 	ctx := context.Background()
 	server := httptest.NewServer(kv.New())
 	defer server.Close()
@@ -104,7 +104,7 @@
 	other := config.NewEditor(config.EditorOptions{Store: store})
 	_, err := other.Apply(ctx, []config.Document{failureDomain("n1")}, 0)
 	must.NoError(t, err)
-	late := &lateDeleter{Client: store, before: func() {
+	late := &hookedDeleter{Client: store, before: func() {
 		_, err := other.SetFailureDomain(ctx, "n1", false) // the text of revision 1
 		must.NoError(t, err)
 	}}
--- a/config/examples_test.go
+++ b/config/examples_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDescribe_PageOfFieldsIsCurrent(t *testing.T) {
+func TestDescribe_MatchesDocumentedFields(t *testing.T) {
 	var b strings.Builder
 	must.NoError(t, Describe(&b))
 	golden.CheckFile(t, "../docs/operators/document-fields.txt", strings.TrimSpace(b.String())+"\n")
--- a/config/fields.go
+++ b/config/fields.go
@@ -21,90 +21,90 @@
 	return schema.Field{Name: "kind", Type: schema.String, Required: true, Enum: kinds, Doc: "kind of document"}
 }
 
-func nameField(doc string) schema.Field { return reference("name", doc) }
+func nameField(doc string) schema.Field { return referenceField("name", doc) }
 
-func reference(name, doc string) schema.Field {
+func referenceField(name, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.String, Required: true, Format: schema.NameFormat, Doc: doc}
 }
 
-func list(name, doc string, elem schema.Field) schema.Field {
+func listField(name, doc string, elem schema.Field) schema.Field {
 	return schema.Field{Name: name, Type: schema.List, Min: 0, Max: maxElements, Doc: doc, Elem: &elem}
 }
 
-func integer(name, unit string, byDefault any, lowest, highest int, doc string) schema.Field {
+func integerField(name, unit string, byDefault any, lowest, highest int, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: byDefault, Required: byDefault == nil, Min: lowest, Max: highest, Doc: doc}
 }
 
-func flag(name, doc string) schema.Field {
+func boolField(name, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.Bool, Default: false, Doc: doc}
 }
 
-func object(fields ...schema.Field) schema.Field {
+func objectField(fields ...schema.Field) schema.Field {
 	return schema.Field{Type: schema.Object, Fields: fields}
 }
 
 func shapeField(doc string) schema.Field {
 	adjacencies := []string{string(job.SameWorker), string(job.SameRack), string(job.SameFailureDomain)}
-	f := object(
-		integer("tasks", "tasks", nil, 1, job.MaxGangTasks, "tasks of the gang; all run or none"),
-		integer("acceleratorsPerTask", "accelerators", nil, 1, maxAcceleratorsPerTask, "accelerators of each task, on one worker"),
+	f := objectField(
+		integerField("tasks", "tasks", nil, 1, job.MaxGangTasks, "tasks of the gang; all run or none"),
+		integerField("acceleratorsPerTask", "accelerators", nil, 1, maxAcceleratorsPerTask, "accelerators of each task, on one worker"),
 		schema.Field{Name: "adjacency", Type: schema.String, Default: string(job.SameRack), Enum: adjacencies, Doc: "what all tasks must share"},
 	)
 	f.Name, f.Doc = "shape", doc
 	return f
 }
 
-var organisationFields = object(
+var organisationFields = objectField(
 	kindField(),
 	nameField("unique among organisations"),
-	list("tokenHashes", "hashes of callers' tokens",
+	listField("tokenHashes", "hashes of callers' tokens",
 		schema.Field{Type: schema.String, Required: true, Format: schema.HashFormat}),
-	list("teams", "parts of the organisation", object(
+	listField("teams", "parts of the organisation", objectField(
 		nameField("unique within the organisation"),
-		integer("quota", "accelerators", 0, 0, maxQuota, "most in use at once in a failure domain; 0: no quota"),
+		integerField("quota", "accelerators", 0, 0, maxQuota, "most in use at once in a failure domain; 0: no quota"),
 	)),
-	list("guarantees", "shapes that can always be reclaimed", object(
-		reference("failureDomain", "where"),
+	listField("guarantees", "shapes that can always be reclaimed", objectField(
+		referenceField("failureDomain", "where"),
 		shapeField("what"),
-		integer("count", "shapes", 1, 1, maxGuaranteeCount, "how many at once"),
+		integerField("count", "shapes", 1, 1, maxGuaranteeCount, "how many at once"),
 	)),
 )
 
-var serviceFields = object(
+var serviceFields = objectField(
 	kindField(),
 	nameField("unique among services, also retired ones"),
-	reference("organisation", "whose guarantees the jobs run under"),
-	reference("team", "whose quota the jobs count against"),
-	list("jobs", "templates that jobs are submitted under", object(
+	referenceField("organisation", "whose guarantees the jobs run under"),
+	referenceField("team", "whose quota the jobs count against"),
+	listField("jobs", "templates that jobs are submitted under", objectField(
 		nameField("unique within the service"),
 		shapeField("largest shape of a job"),
-		integer("runSeconds", "s", nil, 1, maxRunSeconds, "expected run time"),
-		flag("checkpoint", "tasks can save their work when asked"),
-		flag("urgent", "jobs may be submitted as urgent"),
-		integer("maxFailures", "runs", 3, 1, 100, "failed runs before the job itself fails"),
+		integerField("runSeconds", "s", nil, 1, maxRunSeconds, "expected run time"),
+		boolField("checkpoint", "tasks can save their work when asked"),
+		boolField("urgent", "jobs may be submitted as urgent"),
+		integerField("maxFailures", "runs", 3, 1, 100, "failed runs before the job itself fails"),
 	)),
 	requestsField(),
 )
 
 func requestsField() schema.Field {
-	f := object(
-		integer("timeoutMillis", "ms", 10_000, 1, maxTimeoutMillis, "longest that a request may take"),
-		list("idempotentMethods", "methods that may be sent again", schema.Field{Type: schema.String, Required: true, Format: schema.MethodFormat}),
-		list("shareWith", "other organisations that may call", schema.Field{Type: schema.String, Required: true, Format: schema.NameFormat}),
+	f := objectField(
+		integerField("timeoutMillis", "ms", 10_000, 1, maxTimeoutMillis, "longest that a request may take"),
+		listField("idempotentMethods", "methods that may be sent again", schema.Field{Type: schema.String, Required: true, Format: schema.MethodFormat}),
+		listField("shareWith", "other organisations that may call", schema.Field{Type: schema.String, Required: true, Format: schema.NameFormat}),
 	)
 	f.Name, f.Doc, f.Optional = "requests", "short requests; absent: none are taken", true
 	return f
 }
 
-var failureDomainFields = object(
+var failureDomainFields = objectField(
 	kindField(),
 	nameField("unique among failure domains"),
-	reference("region", "region it lies in"),
+	referenceField("region", "region it lies in"),
 	schema.Field{Name: "out", Type: schema.Bool, Doc: "taken out of service: nothing starts here; absent: stays as it is, a new one is in"},
 )
 
-// kindOnly reports a missing or unknown kind.
-var kindOnly = object(kindField())
+// unknownKindFields reports a missing or unknown kind.
+var unknownKindFields = objectField(kindField())
 
 // fieldsOf describes a kind of document; known is false for no such kind.
 func fieldsOf(kind Kind) (fields *schema.Field, known bool) {
@@ -116,5 +116,5 @@
 	case KindFailureDomain:
 		return &failureDomainFields, true
 	}
-	return &kindOnly, false
+	return &unknownKindFields, false
 }
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -23,7 +23,7 @@
 // fleet is some entry hosts' configuration over one stand-in store.
 type fleet struct {
 	t     *testing.T
-	stand *kv.Server
+	store *kv.Server
 	url   string
 	// schedulers says that every member is a scheduler, so reads by itself. It is
 	// set before members start.
@@ -58,25 +58,25 @@
 
 func newFleet(t *testing.T, failureDomains, hostsEach int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, stand: kv.New()}
-	server := httptest.NewServer(f.stand)
+	f := &fleet{t: t, store: kv.New()}
+	server := httptest.NewServer(f.store)
 	f.url = server.URL
 	for fd := range failureDomains {
 		for h := range hostsEach {
-			f.hosts = append(f.hosts, f.build(fmt.Sprintf("n%d", fd), fmt.Sprintf("n%d-%d", fd, h)))
+			f.hosts = append(f.hosts, f.newMember(fmt.Sprintf("n%d", fd), fmt.Sprintf("n%d-%d", fd, h)))
 		}
 	}
 	t.Cleanup(func() {
 		for _, m := range f.hosts {
-			m.end()
+			m.shutDown()
 		}
-		f.stand.SetFaults(kv.Faults{})
+		f.store.SetFaults(kv.Faults{})
 		server.Close()
 	})
 	return f
 }
 
-func (f *fleet) build(fd, name string) *member {
+func (f *fleet) newMember(fd, name string) *member {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(f.t, err)
 	m := &member{fleet: f, server: peer.NewServer(peer.Options{}), pool: peer.NewPool(peer.Options{}), stop: func() {}}
@@ -95,7 +95,7 @@
 	m.done.Go(func() { _ = m.Run(ctx) })
 }
 
-func (m *member) end() {
+func (m *member) shutDown() {
 	m.stop()
 	_ = m.pool.Close()
 	_ = m.server.Close()
@@ -111,8 +111,8 @@
 // restart replaces a member by a process that knows nothing.
 func (f *fleet) restart(i int) *member {
 	old := f.hosts[i]
-	old.end()
-	booted := f.build(old.self.FailureDomain, old.self.Name)
+	old.shutDown()
+	booted := f.newMember(old.self.FailureDomain, old.self.Name)
 	f.mu.Lock()
 	f.hosts[i] = booted
 	f.mu.Unlock()
--- a/config/linear_test.go
+++ b/config/linearizability_test.go
@@ -33,13 +33,13 @@
 	kind     apierr.Kind // empty: accepted
 }
 
-// confState is the configuration as the model sees it.
-type confState struct {
+// modelState is the configuration as the model sees it.
+type modelState struct {
 	revision uint64
 	out      [2]bool
 }
 
-func (s confState) edited(in editInput) confState {
+func (s modelState) afterEdit(in editInput) modelState {
 	switch {
 	case in.apply:
 		s.revision++
@@ -50,11 +50,11 @@
 	return s
 }
 
-// step lists the states that an edit's answer allows.
-func step(s confState, in editInput, out editOutput) []any {
+// allowedStates lists the states that an edit's answer allows.
+func allowedStates(s modelState, in editInput, out editOutput) []any {
 	switch out.kind {
 	case "":
-		if next := s.edited(in); next.revision == out.revision && (!in.apply || in.expected == s.revision) {
+		if next := s.afterEdit(in); next.revision == out.revision && (!in.apply || in.expected == s.revision) {
 			return []any{next}
 		}
 		return nil
@@ -62,7 +62,7 @@
 		if in.apply && in.expected != s.revision {
 			return []any{s}
 		}
-		return []any{s, s.edited(in)}
+		return []any{s, s.afterEdit(in)}
 	case apierr.Conflict:
 		if in.apply && in.expected == s.revision {
 			return nil // refused although nobody was first
@@ -74,10 +74,10 @@
 	return nil
 }
 
-var confModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{confState{revision: 1}} },
+var editModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{modelState{revision: 1}} },
 	Step: func(state, input, output any) []any {
-		return step(state.(confState), input.(editInput), output.(editOutput))
+		return allowedStates(state.(modelState), input.(editInput), output.(editOutput))
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(input, output any) string {
@@ -91,7 +91,7 @@
 	history []porcupine.Operation
 }
 
-func (r *recorder) do(client int, in editInput, call func() (uint64, error)) editOutput {
+func (r *recorder) recordEdit(client int, in editInput, call func() (uint64, error)) editOutput {
 	began := time.Since(r.began)
 	revision, err := call()
 	ended := time.Since(r.began)
@@ -108,13 +108,13 @@
 	return out
 }
 
-// operator makes random edits through its own entry host.
-func operator(r *recorder, client int, e *config.Editor, random *rand.Rand, edits int) {
+// runOperator makes random edits through its own entry host.
+func runOperator(r *recorder, client int, e *config.Editor, random *rand.Rand, edits int) {
 	known := uint64(1)
 	for n := range edits {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 		in := editInput{apply: random.IntN(2) == 0, expected: known, domain: random.IntN(2), out: random.IntN(2) == 0}
-		out := r.do(client, in, func() (uint64, error) {
+		out := r.recordEdit(client, in, func() (uint64, error) {
 			if in.apply {
 				org := organisation(fmt.Sprintf("o%d-%d", client, n))
 				return e.Apply(ctx, []config.Document{org}, in.expected)
@@ -129,7 +129,7 @@
 	}
 }
 
-func randomFaults(stand *kv.Server, random *rand.Rand, stop <-chan struct{}) {
+func injectFaults(store *kv.Server, random *rand.Rand, stop <-chan struct{}) {
 	for {
 		f := kv.Faults{}
 		switch random.IntN(6) {
@@ -144,11 +144,11 @@
 		case 4:
 			f.Delay = 1200 * time.Millisecond // beyond the deadline: writes land late
 		}
-		stand.SetFaults(f)
+		store.SetFaults(f)
 		select {
 		case <-time.After(time.Duration(50+random.IntN(200)) * time.Millisecond):
 		case <-stop:
-			stand.SetFaults(kv.Faults{})
+			store.SetFaults(kv.Faults{})
 			return
 		}
 	}
@@ -156,13 +156,13 @@
 
 func TestEditsAreLinearizable(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkEdits(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkLinearizable(t, seed) })
 	}
 }
 
-func checkEdits(t *testing.T, seed uint64) {
-	stand := kv.New()
-	server := httptest.NewServer(stand)
+func checkLinearizable(t *testing.T, seed uint64) {
+	store := kv.New()
+	server := httptest.NewServer(store)
 	defer server.Close()
 	newEditor := func(client int) *config.Editor {
 		var store kvstore.Store = kvstore.NewClient(server.URL) // leaves lost answers to the editor
@@ -178,10 +178,10 @@
 	r := &recorder{began: time.Now()}
 	stop := make(chan struct{})
 	var faults, operators sync.WaitGroup
-	faults.Go(func() { randomFaults(stand, rand.New(rand.NewPCG(seed, 0)), stop) })
+	faults.Go(func() { injectFaults(store, rand.New(rand.NewPCG(seed, 0)), stop) })
 	for client := range 4 {
 		operators.Go(func() {
-			operator(r, client, newEditor(client), rand.New(rand.NewPCG(seed, uint64(client+1))), 20)
+			runOperator(r, client, newEditor(client), rand.New(rand.NewPCG(seed, uint64(client+1))), 20)
 		})
 	}
 	operators.Wait()
@@ -194,6 +194,6 @@
 		outcomes[op.Output.(editOutput).kind]++
 	}
 	t.Logf("outcomes: %v", outcomes)
-	result := porcupine.CheckOperationsTimeout(confModel.ToModel(), r.history, 30*time.Second)
+	result := porcupine.CheckOperationsTimeout(editModel.ToModel(), r.history, 30*time.Second)
 	must.Eq(t, porcupine.Ok, result)
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -20,7 +20,7 @@
 	Service       *Service
 	FailureDomain *FailureDomain
 
-	keepOut bool // a failure domain's document that leaves its field "out" as it is
+	outOmitted bool // a failure domain's document that leaves its field "out" as it is
 
 	file  string         // where it was read from, for mistakes
 	path  string         // path in that file, such as "[3]"
@@ -61,14 +61,14 @@
 			Kind Kind `json:"kind"`
 			*FailureDomain
 			Out *bool `json:"out,omitempty"` // in place of the field beneath
-		}{d.Kind, d.FailureDomain, d.out()})
+		}{d.Kind, d.FailureDomain, d.outField()})
 	}
 	return nil, errors.Newf("document of unknown kind %q", d.Kind)
 }
 
-// out returns nil when the document leaves the failure domain's state as it is.
-func (d Document) out() *bool {
-	if d.keepOut {
+// outField returns nil when the document leaves the failure domain's state as it is.
+func (d Document) outField() *bool {
+	if d.outOmitted {
 		return nil
 	}
 	return &d.FailureDomain.Out
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(data, &head); err != nil {
 		return err
 	}
-	*d = Document{Kind: head.Kind, keepOut: head.Kind == KindFailureDomain && head.Out == nil}
+	*d = Document{Kind: head.Kind, outOmitted: head.Kind == KindFailureDomain && head.Out == nil}
 	value, err := d.allocate()
 	if err != nil {
 		return err
@@ -122,10 +122,10 @@
 			return nil, src.Mistake(src.Root.StartOffset, "", "list holds no document", "write at least one document")
 		}
 		for i := range list.Elements {
-			p.document(&list.Elements[i], fmt.Sprintf("[%d]", i))
+			p.parseDocument(&list.Elements[i], fmt.Sprintf("[%d]", i))
 		}
 	} else {
-		p.document(&src.Root, "")
+		p.parseDocument(&src.Root, "")
 	}
 	if len(p.mistakes) > 0 {
 		return nil, apierr.Join(p.mistakes)
@@ -139,11 +139,11 @@
 	mistakes  []*apierr.Error
 }
 
-func (p *parser) document(v *hujson.Value, path string) {
+func (p *parser) parseDocument(v *hujson.Value, path string) {
 	fields, known := fieldsOf(kindOf(v))
 	result := p.src.Check(v, fields, path)
 	if !known {
-		result.Mistakes = aboutKind(result.Mistakes)
+		result.Mistakes = dropUnknownFields(result.Mistakes)
 	}
 	p.mistakes = append(p.mistakes, result.Mistakes...)
 	if len(result.Mistakes) > 0 {
@@ -158,9 +158,9 @@
 	p.documents = append(p.documents, d)
 }
 
-// aboutKind leaves out mistakes about the other fields of a document whose kind
+// dropUnknownFields leaves out mistakes about the other fields of a document whose kind
 // is not known: without a kind nothing can be said about them.
-func aboutKind(mistakes []*apierr.Error) []*apierr.Error {
+func dropUnknownFields(mistakes []*apierr.Error) []*apierr.Error {
 	var out []*apierr.Error
 	for _, m := range mistakes {
 		if m.Message != schema.UnknownField {
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-func TestParseDocuments_EveryMistakeAtOnce(t *testing.T) {
+func TestParseDocuments_ReportsEveryMistake(t *testing.T) {
 	_, err := ParseDocuments("org.hujson", []byte(`[
   // two documents, four mistakes
   {"kind": "organisation", "name": "Pwani", "teems": [],
@@ -60,8 +60,8 @@
 		must.NoError(t, err)
 		again, err := ParseDocuments("again", text)
 		must.NoError(t, err)
-		retold, err := json.Marshal(again)
+		textAgain, err := json.Marshal(again)
 		must.NoError(t, err)
-		must.Eq(t, string(text), string(retold))
+		must.Eq(t, string(text), string(textAgain))
 	})
 }
--- a/config/relay.go
+++ b/config/relay.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// pollWait is how long a relay keeps a question open while nothing changes.
-	pollWait  = time.Second
-	maxWait   = 5 * time.Second
-	pollSlack = 500 * time.Millisecond
-	// relayRest is how long a relay that failed is left alone.
-	relayRest = 3 * time.Second
+	// relayPollWait is how long a relay keeps a question open while nothing changes.
+	relayPollWait   = time.Second
+	maxLatestWait   = 5 * time.Second
+	peerAnswerGrace = 500 * time.Millisecond
+	// relayRetryDelay is how long a relay that failed is left alone.
+	relayRetryDelay = 3 * time.Second
 )
 
 // LatestArgs asks a peer for its newest edition.
@@ -40,19 +40,19 @@
 
 // RegisterPeer publishes the slice's net/rpc service.
 func (d *Distributor) RegisterPeer(s *peer.Server) error {
-	return s.Register("Config", &service{d: d})
+	return s.Register("Config", &peerService{d: d})
 }
 
-// service answers peers.
-type service struct{ d *Distributor }
+// peerService answers peers.
+type peerService struct{ d *Distributor }
 
 // Latest answers with the newest edition, as a change of the asking host's.
-func (s *service) Latest(args LatestArgs, reply *LatestReply) error {
+func (s *peerService) Latest(args LatestArgs, reply *LatestReply) error {
 	arrived := s.d.opts.Now()
 	if args.Wait > 0 {
-		s.d.awaitNewer(args.ctx, args.Have, min(args.Wait, maxWait))
+		s.d.awaitNewer(args.ctx, args.Have, min(args.Wait, maxLatestWait))
 	}
-	s.d.answer(args.Have, arrived, reply)
+	s.d.fillReply(args.Have, arrived, reply)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-func (d *Distributor) answer(have uint64, arrived time.Time, reply *LatestReply) {
+func (d *Distributor) fillReply(have uint64, arrived time.Time, reply *LatestReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reply.Revision = d.current.manifest.Revision
@@ -92,7 +92,7 @@
 // manifestAt returns the kept manifest of a revision, or the empty one. The
 // caller holds mu.
 func (d *Distributor) manifestAt(revision uint64) manifest {
-	for _, m := range d.past {
+	for _, m := range d.pastManifests {
 		if m.Revision == revision {
 			return m
 		}
@@ -103,19 +103,19 @@
 // pollRelay asks the relay once, and turns to the platform for a while when the
 // relay does not answer or has itself not heard the platform lately.
 func (d *Distributor) pollRelay(ctx context.Context, address string) {
-	err := d.ask(ctx, address, pollWait)
+	err := d.fetchFromPeer(ctx, address, relayPollWait)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.polling = false
+	d.relayPollInFlight = false
 	now := d.opts.Now()
 	if err != nil || now.Sub(d.confirmed) > staleAfter {
-		d.relayOff = now.Add(relayRest)
+		d.relayRetryAt = now.Add(relayRetryDelay)
 	}
 }
 
-// ask takes over a peer's newest edition and its freshness.
-func (d *Distributor) ask(ctx context.Context, address string, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait+pollSlack)
+// fetchFromPeer takes over a peer's newest edition and its freshness.
+func (d *Distributor) fetchFromPeer(ctx context.Context, address string, wait time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, wait+peerAnswerGrace)
 	defer cancel()
 	known := d.newest()
 	args := &LatestArgs{Have: known.manifest.Revision, Wait: wait}
@@ -124,15 +124,15 @@
 	if err := d.opts.Peers.Call(ctx, address, "Config.Latest", args, &reply); err != nil {
 		return err
 	}
-	return d.take(known, sent, reply)
+	return d.adoptReply(known, sent, reply)
 }
 
-// take adopts a peer's answer to a question sent at sent, when this host had known.
-func (d *Distributor) take(known *edition, sent time.Time, reply LatestReply) error {
+// adoptReply adopts a peer's answer to a question sent at sent, when this host had known.
+func (d *Distributor) adoptReply(known *configuration, sent time.Time, reply LatestReply) error {
 	next := known
 	if reply.Delta != nil {
 		var err error
-		if next, err = known.apply(reply.Delta); err != nil {
+		if next, err = known.applyDelta(reply.Delta); err != nil {
 			d.opts.Logger.Warn("peer's revision not taken", "err", err)
 			return err
 		}
--- a/config/store.go
+++ b/config/repository.go
@@ -15,11 +15,11 @@
 const (
 	headKey       = "cyclamentray/config/manifest"
 	contentPrefix = "cyclamentray/config/content/"
-	// recentEdits is how many accepted edits the head remembers, for writers
+	// maxRecentEdits is how many accepted edits the head remembers, for writers
 	// whose answer was lost.
-	recentEdits = 8
-	// fetchParallel bounds the reads in flight while a revision is fetched.
-	fetchParallel = 8
+	maxRecentEdits = 8
+	// maxParallelCalls bounds the reads in flight while a revision is fetched.
+	maxParallelCalls = 8
 )
 
 // head is the one key that is ever swapped. It is small, since the freshness of
@@ -30,7 +30,7 @@
 	Edits    []string `json:"edits"`    // nonces of the last accepted edits, newest last
 }
 
-func (h head) accepted(nonce string) bool {
+func (h head) includesEdit(nonce string) bool {
 	for _, n := range h.Edits {
 		if n == nonce {
 			return true
@@ -39,12 +39,12 @@
 	return false
 }
 
-// archive reads and writes configuration in the platform's store.
-type archive struct{ store kvstore.Store }
+// repository reads and writes configuration in the platform's store.
+type repository struct{ store kvstore.Store }
 
-// head reads the newest head and its entry's version; both are zero before the
+// readHead reads the newest readHead and its entry's version; both are zero before the
 // first edit.
-func (a archive) head(ctx context.Context) (head, uint64, error) {
+func (a repository) readHead(ctx context.Context) (head, uint64, error) {
 	entry, err := a.store.Get(ctx, headKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return head{}, 0, nil
@@ -59,7 +59,7 @@
 	return h, entry.Version, nil
 }
 
-func (a archive) swap(ctx context.Context, h head, version uint64) error {
+func (a repository) swapHead(ctx context.Context, h head, version uint64) error {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return err
@@ -68,20 +68,20 @@
 	return err
 }
 
-// content reads content by its reference.
-func (a archive) content(ctx context.Context, reference string) ([]byte, error) {
+// readContent reads readContent by its reference.
+func (a repository) readContent(ctx context.Context, reference string) ([]byte, error) {
 	entry, err := a.store.Get(ctx, contentPrefix+reference)
 	if err != nil {
 		return nil, errors.Wrapf(err, "reading configuration content %s", reference)
 	}
-	if hashOf(entry.Value) != hashIn(reference) {
+	if contentHash(entry.Value) != referenceHash(reference) {
 		return nil, errors.Newf("configuration content %s is damaged", reference)
 	}
 	return entry.Value, nil
 }
 
-// put writes content under its reference. What is there already is the same.
-func (a archive) put(ctx context.Context, reference string, content []byte) error {
+// writeContent writes content under its reference. What is there already is the same.
+func (a repository) writeContent(ctx context.Context, reference string, content []byte) error {
 	key := contentPrefix + reference
 	_, err := a.store.CompareAndSwap(ctx, key, content, 0)
 	if err == nil || errors.Is(err, kvstore.ErrConflict) {
@@ -97,14 +97,14 @@
 }
 
 // load reads the edition that h names. It reads only what known lacks.
-func (a archive) load(ctx context.Context, h head, known *edition) (*edition, error) {
+func (a repository) load(ctx context.Context, h head, known *configuration) (*configuration, error) {
 	if h.Revision == 0 {
-		return emptyEdition(), nil
+		return emptyConfiguration(), nil
 	}
 	if h.Manifest == known.hash {
 		return known, nil
 	}
-	raw, err := a.content(ctx, h.Manifest)
+	raw, err := a.readContent(ctx, h.Manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -112,20 +112,20 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, errors.Wrap(err, "configuration manifest is damaged")
 	}
-	content, err := a.fetch(ctx, m, known)
+	content, err := a.readDocuments(ctx, m, known)
 	if err != nil {
 		return nil, err
 	}
 	return assemble(m, content)
 }
 
-func (a archive) fetch(ctx context.Context, m manifest, known *edition) (map[string][]byte, error) {
+func (a repository) readDocuments(ctx context.Context, m manifest, known *configuration) (map[string][]byte, error) {
 	var mu sync.Mutex
 	content := make(map[string][]byte, len(m.Documents))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(fetchParallel)
+	g.SetLimit(maxParallelCalls)
 	for _, reference := range m.Documents {
-		hash := hashIn(reference)
+		hash := referenceHash(reference)
 		if body, ok := known.content[hash]; ok {
 			mu.Lock()
 			content[hash] = body
@@ -133,7 +133,7 @@
 			continue
 		}
 		g.Go(func() error {
-			body, err := a.content(ctx, reference)
+			body, err := a.readContent(ctx, reference)
 			mu.Lock()
 			defer mu.Unlock()
 			content[hash] = body
@@ -144,12 +144,12 @@
 }
 
 // save writes the documents and the manifest of next that base lacks.
-func (a archive) save(ctx context.Context, next, base *edition) error {
+func (a repository) save(ctx context.Context, next, base *configuration) error {
 	g, groupCtx := errgroup.WithContext(ctx)
-	g.SetLimit(fetchParallel)
+	g.SetLimit(maxParallelCalls)
 	for id, reference := range next.manifest.Documents {
 		if base.manifest.Documents[id] != reference {
-			g.Go(func() error { return a.put(groupCtx, reference, next.content[hashIn(reference)]) })
+			g.Go(func() error { return a.writeContent(groupCtx, reference, next.content[referenceHash(reference)]) })
 		}
 	}
 	if err := g.Wait(); err != nil {
@@ -159,18 +159,18 @@
 	if err != nil {
 		return err
 	}
-	return a.put(ctx, next.hash, raw)
+	return a.writeContent(ctx, next.hash, raw)
 }
 
-// clean deletes what next has put an end to. A reader that is still at base
+// deleteReplaced deletes what next has put an end to. A reader that is still at base
 // finds content missing, takes nothing, and reads the head again. A store that
 // cannot delete keeps it all.
-func (a archive) clean(ctx context.Context, next, base *edition) {
+func (a repository) deleteReplaced(ctx context.Context, next, base *configuration) {
 	store, ok := a.store.(kvstore.Deleter)
 	if !ok {
 		return
 	}
-	for _, reference := range append(next.dropped(base), base.hash) {
+	for _, reference := range append(next.droppedReferences(base), base.hash) {
 		if reference != "" {
 			_ = store.Delete(ctx, contentPrefix+reference) // at worst it stays
 		}
