--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -20,20 +20,22 @@
 )
 
 const (
-	storeWatchWait     = 10 * time.Second
+	storeWatchWait     = 10 * time.Second // longest wait that a watch asks of the store
 	maxReplyBytes      = 4 << 20
 	maxIdleConnections = 8
 )
 
-// Client speaks the platform's HTTP API. It is safe for concurrent use.
+// Client calls the platform's HTTP API, without retries, budget or call
+// timeouts; Guard adds those. It is safe for concurrent use.
 type Client struct {
 	baseURLs []string
-	current  atomic.Uint32 // index of the base in use, modulo their number
+	current  atomic.Uint32 // index of the URL in use, modulo their number
 	http     *http.Client
 }
 
-// NewClient returns a client of the platform at any of bases, such as
-// "http://127.0.0.1:8500". After a call without an answer it turns to the next.
+// NewClient returns a client of the platform at any of the base URLs, such as
+// "http://127.0.0.1:8500". After a call that got no answer or a status of 500 or
+// above, later calls use the next URL.
 func NewClient(bases ...string) *Client { return newClient(newTransport(), bases...) }
 
 func newTransport() *http.Transport {
@@ -51,6 +53,7 @@
 var _ Store = (*Client)(nil)
 var _ HostLister = (*Client)(nil)
 
+// pair is the platform's JSON form of an Entry.
 type pair struct {
 	Key         string
 	Value       []byte
@@ -66,7 +69,7 @@
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	query := url.Values{}
-	query.Set("consistent", "") // never an answer from an older copy
+	query.Set("consistent", "") // never an answer from a stale replica
 	e, err := c.readEntry(ctx, key, query)
 	if err != nil {
 		return Entry{}, err
@@ -82,8 +85,9 @@
 	return c.readEntry(ctx, key, watchQuery(ctx, after))
 }
 
-// watchQuery asks the store to answer before ctx ends, so that the connection
-// stays in use.
+// watchQuery returns the query of a watch. Its wait is at most 3/4 of the time
+// that ctx has left: if ctx ended first, the connection would be closed instead
+// of reused.
 func watchQuery(ctx context.Context, after uint64) url.Values {
 	wait := storeWatchWait
 	if deadline, ok := ctx.Deadline(); ok {
@@ -108,7 +112,7 @@
 	}
 	var pairs []pair
 	if err := json.Unmarshal(body, &pairs); err != nil || len(pairs) != 1 {
-		return Entry{}, failure(ErrUnavailable, errors.Newf("read of %s: malformed answer", key))
+		return Entry{}, failure(ErrUnavailable, errors.Newf("read of %s: malformed response", key))
 	}
 	return pairs[0].entry(), nil
 }
@@ -118,7 +122,7 @@
 	return c.compareAndSwap(ctx, key, value, version, newNonce())
 }
 
-// compareAndSwap is CompareAndSwap with the nonce to store beside the value.
+// compareAndSwap is CompareAndSwap with the nonce that is stored with the value.
 func (c *Client) compareAndSwap(ctx context.Context, key string, value []byte, version, nonce uint64) (Entry, error) {
 	query := url.Values{}
 	query.Set("cas", strconv.FormatUint(version, 10))
@@ -135,6 +139,7 @@
 	return c.writeEntry(ctx, key, value, query, lease.ID, ErrHeld)
 }
 
+// writeEntry sends one PUT and returns refusedErr if the store declines it.
 func (c *Client) writeEntry(ctx context.Context, key string, value []byte, query url.Values, lease string, refusedErr error) (Entry, error) {
 	status, header, body, err := c.callWithHeader(ctx, http.MethodPut, "/v1/kv/"+key, query, value)
 	switch {
@@ -142,7 +147,7 @@
 		return Entry{}, failure(ErrUnavailable, err)
 	case err != nil:
 		return Entry{}, failure(ErrAmbiguous, err)
-	case status >= http.StatusInternalServerError: // it may have failed half-way
+	case status >= http.StatusInternalServerError: // the write may have been applied
 		return Entry{}, failure(ErrAmbiguous, errors.Newf("write of %s: status %d", key, status))
 	case status != http.StatusOK:
 		return Entry{}, errors.Newf("write of %s refused: status %d; check the size of the value and the platform's limits", key, status)
@@ -166,6 +171,7 @@
 	return nil
 }
 
+// sessionRequest is the platform's JSON form of a lease request.
 type sessionRequest struct {
 	TTL       string
 	LockDelay string
@@ -239,7 +245,8 @@
 	return hosts, index, nil
 }
 
-// errNotSent marks a call that failed before it had a connection.
+// errNotSent marks a call that failed before it got a connection, so the store
+// cannot have received it.
 var errNotSent = errors.New("call not sent")
 
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
@@ -247,9 +254,11 @@
 	return status, reply, err
 }
 
+// callWithHeader sends a request to the URL in use and switches to the next URL
+// if it gets no answer or a status of 500 or above.
 func (c *Client) callWithHeader(ctx context.Context, method, path string, query url.Values, body []byte) (int, http.Header, []byte, error) {
 	if len(c.baseURLs) == 0 {
-		return 0, nil, nil, errors.New("no address of the platform; set platform.urls")
+		return 0, nil, nil, errors.New("no platform URL configured; set platform.urls")
 	}
 	index := c.current.Load()
 	target := c.baseURLs[int(index)%len(c.baseURLs)] + path
@@ -263,6 +272,7 @@
 	return status, header, reply, err
 }
 
+// exchange sends one HTTP request and reads the response, up to maxReplyBytes.
 func (c *Client) exchange(ctx context.Context, method, target string, body []byte) (int, http.Header, []byte, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -272,7 +282,7 @@
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	req.Header.Set("User-Agent", "") // saves bytes on each of many small calls
+	req.Header.Set("User-Agent", "") // saves bytes; there are many small calls
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if !connected.Load() {
@@ -283,7 +293,7 @@
 	defer resp.Body.Close()
 	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("reading the platform's answer: %w", err)
+		return 0, nil, nil, fmt.Errorf("reading the platform's response: %w", err)
 	}
 	return resp.StatusCode, resp.Header, reply, nil
 }
--- a/kvstore/dial.go
+++ b/kvstore/dial.go
@@ -9,7 +9,8 @@
 	"github.com/cyclamentray/cyclamentray/internal/countedconn"
 )
 
-// countedDial returns a dialler whose connections are counted in set.
+// countedDial returns a dial function whose connections count their bytes in
+// set, as cyclamentray_platform_bytes_total.
 func countedDial(set *metrics.Set) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/kvstore/fallback.go
+++ b/kvstore/fallback.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// directTimeShare is the part of a call's time that the direct try may take
-	// when peers could carry it.
+	// directTimeShare is the fraction of a call's remaining time that the direct
+	// attempt may take when there are peers to fall back to.
 	directTimeShare = 0.5
 
-	// peerTimeShare is the part of what is left that one peer may take.
+	// peerTimeShare is the fraction of the time then left that one peer may take.
 	peerTimeShare = 0.6
 
-	// probeInterval lies between two looks whether the store answers this host
-	// again; one look takes probeTimeout at most, above the slowest store.
+	// probeInterval is the pause before each probe that checks whether the store
+	// answers this host again. probeTimeout bounds one probe; it is longer than
+	// the slowest store takes to answer.
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = 500 * time.Millisecond
 
-	maxKeyspacePeers = 2 // peers asked for one call
+	maxKeyspacePeers = 2 // peers tried for one call
 )
 
-// Fallback is a Keyspace that asks peers to carry its calls while the store
-// does not answer it. It is safe for concurrent use.
+// Fallback is a Keyspace that calls the store directly and makes its calls
+// through peers while the store does not answer this host. It remembers whether
+// the store is down and which peers failed. It is safe for concurrent use.
 type Fallback struct {
 	Direct Keyspace
 	Peers  peer.Caller
-	// Addresses returns where the peers listen, without this host.
+	// Addresses returns the addresses of the peers, without this host.
 	Addresses func() []string
 	// Metrics, when set, counts calls by operation, way and outcome.
 	Metrics *metrics.Set
-	// ProbeKey is a key that may be read to see whether the store answers.
+	// ProbeKey is the key that probes read to check whether the store answers.
 	ProbeKey string
 
 	mu          sync.Mutex
 	storeDown   bool
-	recovered   chan struct{}   // closed when the store answers again; set while lost
+	recovered   chan struct{}   // closed when the store answers again; nil unless storeDown
 	failedPeers map[string]bool // peers whose last call failed
 }
 
@@ -67,8 +69,8 @@
 	return reply.Events, reply.Revision, err
 }
 
-// Commit implements Keyspace. The transaction may be sent twice: a conflict may
-// come from its own first copy.
+// Commit implements Keyspace. The transaction may be sent more than once, so a
+// conflict may be caused by its own earlier copy.
 func (f *Fallback) Commit(ctx context.Context, txn Txn) (uint64, error) {
 	reply, err := f.call(ctx, KeyspaceArgs{Op: keyspaceCommit, Txn: txn})
 	return reply.Revision, err
@@ -92,8 +94,8 @@
 	return err
 }
 
-// call tries the store itself and then peers, or the other way round while the
-// store is known not to answer this host.
+// call tries the store directly and then through peers, or peers first while
+// the store is known to be down for this host.
 func (f *Fallback) call(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
 	attempts := []func(context.Context, KeyspaceArgs) (KeyspaceReply, error){f.callDirect, f.callPeers}
 	if f.isStoreDown() {
@@ -112,13 +114,14 @@
 	return reply, keepAmbiguity(ambiguous, err)
 }
 
-// keepAmbiguity returns the failure of a call after a try whose outcome is
-// unknown. The later failure's kind must not show: it says that nothing was done.
+// keepAmbiguity returns the failure of a call whose last attempt failed with err.
+// If the outcome of an earlier attempt is unknown, it returns ErrAmbiguous
+// without err's kind, since ErrUnavailable would claim that nothing was done.
 func keepAmbiguity(ambiguous bool, err error) error {
 	if !ambiguous || errors.Is(err, ErrAmbiguous) {
 		return err
 	}
-	return failure(ErrAmbiguous, errors.Newf("no answer to one try; the next: %v", err))
+	return failure(ErrAmbiguous, errors.Newf("no answer to one attempt; the next failed: %v", err))
 }
 
 // unanswered reports whether the store gave no answer.
@@ -126,6 +129,7 @@
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous)
 }
 
+// callDirect calls the store from this host.
 func (f *Fallback) callDirect(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
 	if args.Op != keyspaceWatch && len(f.Addresses()) > 0 {
 		var cancel context.CancelFunc
@@ -133,7 +137,8 @@
 		defer cancel()
 	}
 	if args.Op == keyspaceWatch {
-		// The probe's connection is new: this one may be silent for good.
+		// A watch's connection may never deliver an answer. The probe uses a
+		// connection of its own; when it succeeds, the watch is given up.
 		var cancel context.CancelFunc
 		ctx, cancel = f.untilRecovered(ctx)
 		defer cancel()
@@ -146,7 +151,7 @@
 	return reply, err
 }
 
-// withTimeShare bounds ctx to a part of the time it has left.
+// withTimeShare bounds ctx to a fraction of the time it has left.
 func withTimeShare(ctx context.Context, part float64) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -155,9 +160,10 @@
 	return context.WithTimeout(ctx, time.Duration(float64(time.Until(deadline))*part))
 }
 
+// callPeers tries a few peers in turn until one reaches the store.
 func (f *Fallback) callPeers(ctx context.Context, args KeyspaceArgs) (KeyspaceReply, error) {
 	var reply KeyspaceReply
-	err := errors.Wrap(ErrUnavailable, "no peer is listed")
+	err := errors.Wrap(ErrUnavailable, "no peer to call")
 	ambiguous := false
 	for _, address := range f.peersToTry() {
 		reply, err = f.callPeer(ctx, address, args)
@@ -169,7 +175,8 @@
 	return reply, keepAmbiguity(ambiguous, err)
 }
 
-// peersToTry returns a few peers, first those whose last call was answered.
+// peersToTry returns up to maxKeyspacePeers peers in random order, but those
+// whose last call failed come last. When all have failed, it forgets the failures.
 func (f *Fallback) peersToTry() []string {
 	addresses := f.Addresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
@@ -184,13 +191,14 @@
 		answering = append(answering, a)
 	}
 	if len(answering) == 0 {
-		clear(f.failedPeers) // give them all another chance
+		clear(f.failedPeers)
 	}
 	all := append(answering, failed...)
 	return all[:min(maxKeyspacePeers, len(all))]
 }
 
-// callPeer asks one peer. A read ends early when the store answers again.
+// callPeer makes a call through one peer. A call that writes nothing ends early
+// when the store answers this host again.
 func (f *Fallback) callPeer(ctx context.Context, address string, args KeyspaceArgs) (KeyspaceReply, error) {
 	if args.Op != keyspaceWatch {
 		var cancel context.CancelFunc
@@ -231,7 +239,8 @@
 	f.Metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamentray_store_calls_total{op=%q,way=%q,outcome=%q}`, op, way, outcome)).Inc()
 }
 
-// outcomeLabels bounds the values of a label.
+// outcomeLabels is the fixed set of values of the metric's outcome label; others
+// are counted as "other".
 var outcomeLabels = func() map[string]bool {
 	known := map[string]bool{"ok": true}
 	for _, f := range failureNames {
@@ -274,7 +283,8 @@
 	return ctx, cancel
 }
 
-// markStoreDown notes that the store does not answer, and looks until it does.
+// markStoreDown records that the store does not answer this host and starts the
+// probes that detect its recovery.
 func (f *Fallback) markStoreDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -286,6 +296,7 @@
 	go f.probeUntilRecovered()
 }
 
+// probeUntilRecovered probes the store until it answers, then clears storeDown.
 func (f *Fallback) probeUntilRecovered() {
 	for {
 		time.Sleep(probeInterval)
--- a/kvstore/follower.go
+++ b/kvstore/follower.go
@@ -9,45 +9,50 @@
 	"github.com/cyclamentray/cyclamentray/internal/pause"
 )
 
-// Follower keeps a copy of a prefix current.
+// Follower watches a prefix of a Keyspace and reports its content and changes
+// through callbacks, from which the caller keeps a copy. Run makes the calls, one
+// at a time.
 type Follower struct {
 	Store  Keyspace
 	Prefix string
-	// Wait is how long one watch waits. It is short, so that a connection that
-	// has gone silent is noticed and replaced.
+	// Wait is how long one watch waits for a change. It is short, so that a
+	// connection that no longer delivers answers is detected and replaced.
 	Wait time.Duration
-	// Pause lies between two watches, so that a busy prefix is read in batches.
-	// Nil: no pause.
+	// Pause returns the time between two watches, so that frequent changes of a
+	// prefix are read in batches. Nil: no pause.
 	Pause func() time.Duration
-	// Reset takes the whole prefix; Apply takes later changes in order.
+	// Reset receives the whole content of the prefix; Apply receives later
+	// changes in order.
 	Reset func(items []Item)
 	Apply func(events []Event)
-	// ReadStarted, when set, is called before each look at the store is sent.
+	// ReadStarted, when set, is called before each list or watch is sent.
 	ReadStarted func()
-	// ReadTruncated, when set, is called before Apply when more changes wait than one
-	// watch gives: the events' times are then unknown.
+	// ReadTruncated, when set, is called before Apply when more changes may be
+	// pending than one watch returns: the events' times are then unknown.
 	ReadTruncated func()
-	// ReadDone, when set, is called after each look at the store that succeeded.
+	// ReadDone, when set, is called after each list or watch that succeeded.
 	ReadDone func()
-	// Lost and Regained tell that the copy is no longer, or again, current.
+	// Lost, when set, is called when the copy stops being current; Regained, when
+	// set, when it is current for the first time or again.
 	Lost     func(err error)
 	Regained func()
 
-	lastBatch int // events of the last watch
+	lastBatch int // number of events of the last watch
 }
 
-// truncatedBatch is how many events of one watch mean that more are waiting; the
-// platform's store gives about 500 at a time.
+// truncatedBatch is the number of events of one watch from which more are assumed
+// to be pending; the platform's store returns about 500 at a time.
 const truncatedBatch = 400
 
 const (
-	watchAnswerGrace = 700 * time.Millisecond // beyond the wait, for a slow answer
-	listTimeout      = 2 * time.Second        // one whole list
-	firstRetryWait   = 60 * time.Millisecond  // first pause after a failure; doubles up to followMax
-	maxRetryWait     = 400 * time.Millisecond // a change must be seen well within two seconds of the store's return
+	watchAnswerGrace = 700 * time.Millisecond // time for a slow answer beyond the watch's wait
+	listTimeout      = 2 * time.Second        // bounds one list
+	firstRetryWait   = 60 * time.Millisecond  // first pause after a failure; doubles up to maxRetryWait
+	maxRetryWait     = 400 * time.Millisecond // changes must be seen well within two seconds of the store's recovery
 )
 
-// Run follows the prefix until ctx ends.
+// Run follows the prefix until ctx ends. It lists the prefix first, and again
+// whenever the store has compacted the history that the next watch needs.
 func (f *Follower) Run(ctx context.Context) {
 	var after uint64
 	lost := true
@@ -77,6 +82,8 @@
 	}
 }
 
+// reportLoss records whether the last read failed, and calls Lost or Regained
+// when that changed.
 func (f *Follower) reportLoss(lost *bool, err error) {
 	was := *lost
 	*lost = err != nil
@@ -88,8 +95,8 @@
 	}
 }
 
-// watchWait returns how long the next watch waits. After a failure it does not:
-// that the store is back must be known at once, not when something changes.
+// watchWait returns how long the next watch waits. After a failure it is 0, so
+// that recovery of the store is detected at once and not only when a key changes.
 func (f *Follower) watchWait(lost bool) time.Duration {
 	if lost {
 		return 0
@@ -97,7 +104,8 @@
 	return f.Wait
 }
 
-// readNext lists the prefix when there is no copy to continue from, and watches it otherwise.
+// readNext lists the prefix if after is 0, and otherwise watches it for changes
+// later than after. It returns the revision to continue from.
 func (f *Follower) readNext(ctx context.Context, after uint64, wait time.Duration) (uint64, error) {
 	if after == 0 {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
--- a/kvstore/guard.go
+++ b/kvstore/guard.go
@@ -18,25 +18,27 @@
 const (
 	// callTimeout bounds one call: a platform that takes longer counts as down.
 	callTimeout = time.Second
-	// urgentTimeout bounds an urgent call, which may outlast that finding: a
-	// slow answer still serves it.
+	// urgentTimeout bounds an urgent call. It is longer than callTimeout, since a
+	// slow answer is still useful to the caller, but after callTimeout the
+	// platform counts as down all the same.
 	urgentTimeout = 1900 * time.Millisecond
-	// watchGrace is what a watch may take beyond the store's own wait.
+	// watchGrace is the time that a watch may take beyond the store's own wait.
 	watchGrace = time.Second
-	// defaultCallsPerSecond and defaultBurst are a host's budget: calls per second, and
-	// calls at once, enough to take over a shard of claims or a failure domain.
+	// defaultCallsPerSecond and defaultCallBurst are a host's call budget: calls
+	// per second, and calls at once, which are enough to take over a shard of
+	// claims or a failure domain.
 	defaultCallsPerSecond = 40
 	defaultCallBurst      = 300
-	watchKind             = "watch"
-	// probeKey is read to learn whether the platform answers. It need not exist.
+	watchKind             = "watch" // kind of watches in metrics
+	// probeKey is read to check whether the platform answers. It need not exist.
 	probeKey = "cyclamentray/probe"
 )
 
 // Options configures a Guard.
 type Options struct {
-	Base    string   // URL of the platform, such as "http://127.0.0.1:8500"
-	Others  []string // further URLs of it, tried in turn
-	Rate    float64  // calls a second that this host may make; 0: the default
+	Base    string   // base URL of the platform, such as "http://127.0.0.1:8500"
+	Others  []string // its further base URLs, tried in turn
+	Rate    float64  // calls per second that this host may make; 0: the default
 	Burst   int      // calls that may be made at once; 0: the default
 	Now     func() time.Time
 	Logger  *log.Logger
@@ -56,10 +58,10 @@
 	return o
 }
 
-// Guard is the Store that the slices use. It gives every call a deadline,
-// counts it, keeps it within the host's budget, holds calls back while the
-// platform is down, and settles writes whose answer was lost.
-// It is safe for concurrent use.
+// Guard is the Store through which an entry host calls the platform. Around a
+// Client, it sets a deadline on every call, counts it, rate-limits the host's
+// calls, holds calls back while the platform is down (a circuit breaker), and
+// resolves writes whose answer was lost. It is safe for concurrent use.
 type Guard struct {
 	opts   Options
 	client *Client
@@ -67,7 +69,7 @@
 
 	mu         sync.Mutex
 	breaker    circuitBreaker
-	watchCache map[string]Entry // newest entry of each key that is watched
+	watchCache map[string]Entry // last entry seen of each watched key
 }
 
 // New returns a guard around a client of the platform at opts.Base.
@@ -101,7 +103,9 @@
 	return g.breaker.down()
 }
 
-// do makes one call of a kind, counted and bounded by timeout.
+// do makes one call, bounded by timeout, and counts it under its kind. An urgent
+// call gets urgentTimeout if that is longer; if it then takes longer than
+// callTimeout, the platform counts as down before the call has ended.
 func (g *Guard) do(ctx context.Context, kind string, timeout time.Duration, call func(context.Context) error) error {
 	if err := g.admit(ctx, kind); err != nil {
 		return err
@@ -113,7 +117,7 @@
 	defer cancel()
 	sent := g.opts.Now()
 	if timeout == urgentTimeout {
-		slow := time.AfterFunc(callTimeout, func() { g.updateBreaker(func(h *circuitBreaker) { h.recordFailure(g.opts.Now(), rand.Float64()) }) })
+		slow := time.AfterFunc(callTimeout, func() { g.updateBreaker(func(b *circuitBreaker) { b.recordFailure(g.opts.Now(), rand.Float64()) }) })
 		defer slow.Stop()
 	}
 	err := call(callCtx)
@@ -121,8 +125,8 @@
 	return err
 }
 
-// admit waits for the host's budget. An urgent call does not wait: it runs the
-// budget into debt, which the other calls pay off by waiting longer.
+// admit refuses a call that the circuit breaker holds back, and waits until the
+// host's call budget allows it. Urgent calls are never refused and do not wait.
 func (g *Guard) admit(ctx context.Context, kind string) error {
 	if !isUrgent(ctx) {
 		g.mu.Lock()
@@ -140,7 +144,8 @@
 	return nil
 }
 
-// takeBudget takes one call from the host's budget.
+// takeBudget waits until the host's call budget allows one more call. An urgent
+// call does not wait: it is charged in advance, so that later calls wait longer.
 func (g *Guard) takeBudget(ctx context.Context) error {
 	if isUrgent(ctx) {
 		g.budget.ReserveN(g.opts.Now(), 1)
@@ -149,15 +154,17 @@
 	return failure(ErrUnavailable, errors.Wrap(g.budget.Wait(ctx), "call budget"))
 }
 
-// record takes in a call's outcome. A caller that gave up says nothing about the
-// platform.
+// record counts a call's outcome and updates the circuit breaker. A call that
+// failed because its caller cancelled it is no evidence about the platform,
+// unless callTimeout had passed by then; for a watch it never is. A late answer
+// does not mark the platform as up, except that of a watch.
 func (g *Guard) record(ctx context.Context, kind string, sent time.Time, err error) {
 	now := g.opts.Now()
 	g.opts.Metrics.GetOrCreateHistogram(fmt.Sprintf(`cyclamentray_platform_call_seconds{kind=%q}`, kind)).Update(now.Sub(sent).Seconds())
 	if !noAnswer(err) {
 		g.count(kind, "answered")
 		if now.Sub(sent) < callTimeout || kind == watchKind {
-			g.updateBreaker(func(h *circuitBreaker) { h.recordAnswer() })
+			g.updateBreaker(func(b *circuitBreaker) { b.recordAnswer() })
 		}
 		return
 	}
@@ -165,9 +172,11 @@
 	if ctx.Err() != nil && (kind == watchKind || now.Sub(sent) < callTimeout) {
 		return
 	}
-	g.updateBreaker(func(h *circuitBreaker) { h.recordFailure(now, rand.Float64()) })
+	g.updateBreaker(func(b *circuitBreaker) { b.recordFailure(now, rand.Float64()) })
 }
 
+// updateBreaker applies change to the circuit breaker and logs when the platform
+// goes down or comes up.
 func (g *Guard) updateBreaker(change func(*circuitBreaker)) {
 	g.mu.Lock()
 	before := g.breaker.down()
@@ -187,6 +196,7 @@
 	g.opts.Metrics.GetOrCreateCounter(name).Inc()
 }
 
+// noAnswer reports whether a call failed without a usable answer.
 func noAnswer(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous)
 }
@@ -209,7 +219,8 @@
 	return l, err
 }
 
-// Renew implements Store. Renewals are urgent: a lease does not wait.
+// Renew implements Store. Renewals are urgent, since a lease that is not renewed
+// in time lapses.
 func (g *Guard) Renew(ctx context.Context, lease Lease) error {
 	return g.do(Urgent(ctx), "renew", callTimeout, func(ctx context.Context) error {
 		return g.client.Renew(ctx, lease)
@@ -258,7 +269,7 @@
 	return acquireAndResolve(ctx, g, acquireArgs{key: key, value: value, lease: lease})
 }
 
-func (g *Guard) swapOnce(ctx context.Context, a swapArgs) (e Entry, err error) {
+func (g *Guard) trySwap(ctx context.Context, a swapArgs) (e Entry, err error) {
 	err = g.do(ctx, "swap", callTimeout, func(ctx context.Context) error {
 		e, err = g.client.compareAndSwap(ctx, a.key, a.value, a.version, a.nonce)
 		return err
@@ -266,7 +277,7 @@
 	return e, err
 }
 
-func (g *Guard) acquireOnce(ctx context.Context, a acquireArgs) (e Entry, err error) {
+func (g *Guard) tryAcquire(ctx context.Context, a acquireArgs) (e Entry, err error) {
 	err = g.do(Urgent(ctx), "acquire", callTimeout, func(ctx context.Context) error {
 		e, err = g.client.Acquire(ctx, a.key, a.value, a.lease)
 		return err
@@ -274,8 +285,8 @@
 	return e, err
 }
 
-// probeInBackground makes one small read in the background when the platform is down and
-// the back-off allows it, so that its return is noticed.
+// probeInBackground starts one small read if the platform is down and the back-off
+// allows a call. Its answer marks the platform as up.
 func (g *Guard) probeInBackground() {
 	g.mu.Lock()
 	allowed := g.breaker.down() && g.breaker.allow(g.opts.Now())
--- a/kvstore/keyspace.go
+++ b/kvstore/keyspace.go
@@ -8,14 +8,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxTxnEntries is how many conditions, puts and deletes one transaction takes together.
+// MaxTxnEntries is the most conditions, puts and deletes, counted together, that
+// one transaction may have.
 const MaxTxnEntries = 32
 
 // ErrCompacted means that the store no longer has the history that a watch
 // asked for; list the prefix again.
 var ErrCompacted = errors.New("kvstore: the history asked for is gone; list the prefix again")
 
-// Item is a key's value as it was last written.
+// Item is a key with its latest value.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -29,8 +30,8 @@
 	Deleted bool
 }
 
-// Condition demands that a key's last change is at a revision; 0: that the key
-// does not exist.
+// Condition requires that a key's last change is at Revision, or that the key does
+// not exist if Revision is 0.
 type Condition struct {
 	Key      string
 	Revision uint64
@@ -43,7 +44,8 @@
 	Lease uint64 // 0: none
 }
 
-// Txn is a change that happens whole or not at all.
+// Txn is an atomic transaction: if all conditions in If hold, all puts and deletes
+// are applied; otherwise none.
 type Txn struct {
 	If      []Condition
 	Puts    []Put
@@ -52,17 +54,18 @@
 
 // ConflictError means that a condition did not hold and nothing was written.
 type ConflictError struct {
-	Items []Item // the keys of the conditions as they are; a missing key has revision 0
+	Items []Item // current state of the conditions' keys; a missing key has revision 0
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("kvstore: a condition on %d keys does not hold; read them again", len(e.Items))
+	return fmt.Sprintf("kvstore: transaction conflict: a condition on %d keys does not hold; read them again", len(e.Items))
 }
 
 // Is makes errors.Is(err, ErrConflict) hold.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// LeaseGrant is a lease on keys.
+// LeaseGrant is a lease of a Keyspace. Keys written under it are removed when it
+// ends.
 type LeaseGrant struct {
 	ID  uint64
 	TTL time.Duration
@@ -70,13 +73,13 @@
 
 // Keyspace is a store of keys with transactions, prefixes and leases.
 // Implementations are safe for concurrent use; every method honours ctx.
-// Errors are ErrUnavailable (nothing was done), ErrAmbiguous (it may have been
-// done, or may be done later), and those named at each method.
+// Errors are ErrUnavailable (nothing was done), ErrAmbiguous (the operation may
+// have taken effect, or may do so later), and those named at each method.
 type Keyspace interface {
 	// Get reads one key; ErrNotFound when it does not exist.
 	Get(ctx context.Context, key string) (Item, error)
-	// List reads every key under prefix. asOf is a revision from which a watch
-	// misses nothing.
+	// List reads every key under prefix. A watch that starts after revision asOf
+	// misses no change.
 	List(ctx context.Context, prefix string) (items []Item, asOf uint64, err error)
 	// Watch waits up to wait for changes under prefix later than after.
 	// It returns ErrCompacted when that history is gone.
--- a/kvstore/keyspace_service.go
+++ b/kvstore/keyspace_service.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// keyspaceOp names a call of a Keyspace.
+// keyspaceOp names an operation of a Keyspace in a call made through a peer.
 type keyspaceOp string
 
 const (
@@ -20,13 +20,13 @@
 	keyspaceRevoke keyspaceOp = "revoke"
 )
 
-// KeyspaceArgs is a call that a peer makes for a host that does not reach the
-// store. Fields that the operation does not need are zero.
+// KeyspaceArgs holds the arguments of a call that a peer makes for a host that
+// cannot reach the store. Fields that the operation does not use are zero.
 type KeyspaceArgs struct {
 	Op       keyspaceOp
-	Key      string // or prefix
-	Revision uint64 // watched after, or the lease's id
-	Wait     time.Duration
+	Key      string        // or the prefix, for a list or watch
+	Revision uint64        // after which to watch, or the lease's ID
+	Wait     time.Duration // of a watch, or the TTL of a grant
 	Txn      Txn
 
 	ctx context.Context
@@ -35,9 +35,10 @@
 // TakeContext implements peer.ContextTaker.
 func (a *KeyspaceArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
 
+// writes reports whether an unanswered call may have changed keys.
 func (a *KeyspaceArgs) writes() bool { return a.Op == keyspaceCommit }
 
-// KeyspaceReply is the store's answer, brought by a peer.
+// KeyspaceReply is the store's answer, as returned by a peer.
 type KeyspaceReply struct {
 	Failure  string // name of the store's failure; empty: none
 	Item     Item
@@ -47,10 +48,11 @@
 	Lease    LeaseGrant
 }
 
-// KeyspaceService carries peers' calls. It is registered as "Keyspace".
+// KeyspaceService is the net/rpc service that calls Store on behalf of peers. It
+// is registered as "Keyspace".
 type KeyspaceService struct{ Store Keyspace }
 
-// Do makes a peer's call.
+// Do makes one call for a peer.
 func (s *KeyspaceService) Do(args *KeyspaceArgs, reply *KeyspaceReply) error {
 	ctx := args.ctx
 	if ctx == nil {
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// callKeyspace makes a call on a store.
+// callKeyspace runs the operation that a names on store.
 func callKeyspace(ctx context.Context, store Keyspace, a KeyspaceArgs) (KeyspaceReply, error) {
 	var r KeyspaceReply
 	var err error
@@ -91,7 +93,7 @@
 	return r, err
 }
 
-// replyError returns the failure that a peer's reply names.
+// replyError returns the error that a peer's reply names.
 func replyError(r KeyspaceReply) error {
 	if errors.Is(failureFromName(r.Failure), ErrConflict) {
 		return &ConflictError{Items: r.Items}
--- a/kvstore/peer_service.go
+++ b/kvstore/peer_service.go
@@ -8,7 +8,7 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
-// storeOp names a carried call.
+// storeOp names an operation of a Store in a call made through a peer.
 type storeOp string
 
 const (
@@ -24,8 +24,8 @@
 	opDelete     storeOp = "delete"
 )
 
-// CarryArgs is a call that a peer makes for a host that does not reach the
-// platform. Fields that the operation does not need are zero.
+// CarryArgs holds the arguments of a call that a peer makes for a host that
+// cannot reach the platform. Fields that the operation does not use are zero.
 type CarryArgs struct {
 	Op      string
 	Key     string
@@ -40,7 +40,7 @@
 // TakeContext implements peer.ContextTaker.
 func (a *CarryArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
 
-// CarryReply is the platform's answer, brought by a peer.
+// CarryReply is the platform's answer, as returned by a peer.
 type CarryReply struct {
 	Failure string // name of the store's failure; empty: none
 	Entry   Entry
@@ -49,8 +49,8 @@
 	Index   uint64
 }
 
-// failureNames lists the failures that cross between hosts. The most specific
-// one of an error comes first.
+// failureNames maps failures to their names in replies between hosts. An error
+// that matches several of them gets the name of the first, the most specific.
 var failureNames = []struct {
 	name string
 	err  error
@@ -64,6 +64,7 @@
 	{"unavailable", ErrUnavailable},
 }
 
+// failureName returns the name of err's failure, or its text if it has none.
 func failureName(err error) string {
 	if err == nil {
 		return ""
@@ -76,6 +77,7 @@
 	return err.Error()
 }
 
+// failureFromName is the inverse of failureName.
 func failureFromName(name string) error {
 	if name == "" {
 		return nil
@@ -85,25 +87,28 @@
 			return f.err
 		}
 	}
-	return errors.Newf("platform, through a peer: %s", name)
+	return errors.Newf("platform call through a peer: %s", name)
 }
 
-// RegisterPeer publishes the net/rpc service that makes calls for peers. It
-// never passes them on to a third host.
+// RegisterPeer registers the net/rpc service that makes calls for peers. The
+// service calls the platform directly and never forwards to a third host.
 func (g *Guard) RegisterPeer(s *peer.Server) error {
 	return s.Register("Platform", &peerService{guard: g})
 }
 
+// peerService is the net/rpc service "Platform".
 type peerService struct{ guard *Guard }
 
-// Carry makes a peer's call.
+// Carry calls the platform on behalf of a peer.
 func (s *peerService) Carry(args CarryArgs, reply *CarryReply) error {
-	// The asking host has spent its own budget on the call.
+	// The calling host has already charged the call to its own budget, so it
+	// does not wait for this host's.
 	err := s.guard.execute(Urgent(args.ctx), args, reply)
 	reply.Failure = failureName(err)
 	return nil
 }
 
+// execute runs the operation that args names and stores its result in reply.
 func (g *Guard) execute(ctx context.Context, args CarryArgs, reply *CarryReply) (err error) {
 	switch storeOp(args.Op) {
 	case opGet:
@@ -111,9 +116,9 @@
 	case opWatch:
 		reply.Entry, err = g.Watch(ctx, args.Key, args.Version)
 	case opSwap:
-		reply.Entry, err = g.swapOnce(ctx, swapArgs{key: args.Key, value: args.Value, version: args.Version, nonce: args.Nonce})
+		reply.Entry, err = g.trySwap(ctx, swapArgs{key: args.Key, value: args.Value, version: args.Version, nonce: args.Nonce})
 	case opAcquire:
-		reply.Entry, err = g.acquireOnce(ctx, acquireArgs{key: args.Key, value: args.Value, lease: args.Lease})
+		reply.Entry, err = g.tryAcquire(ctx, acquireArgs{key: args.Key, value: args.Value, lease: args.Lease})
 	case opGrant:
 		reply.Lease, err = g.Grant(ctx, args.Lease.TTL)
 	case opRenew:
@@ -127,7 +132,7 @@
 	case opWatchHosts:
 		reply.Hosts, reply.Index, err = g.WatchHosts(ctx, args.Version)
 	default:
-		err = errors.Newf("unknown call %q; bring both hosts to one release", args.Op)
+		err = errors.Newf("unknown operation %q; run the same release on both hosts", args.Op)
 	}
 	return err
 }
--- a/kvstore/resolve_test.go
+++ b/kvstore/resolve_test.go
@@ -17,7 +17,7 @@
 
 func (w *scriptedWriter) Get(context.Context, string) (Entry, error) { return w.found, w.readErr }
 
-func (w *scriptedWriter) swapOnce(_ context.Context, a swapArgs) (Entry, error) {
+func (w *scriptedWriter) trySwap(_ context.Context, a swapArgs) (Entry, error) {
 	w.swaps++
 	if w.swaps == 1 {
 		return Entry{}, ErrAmbiguous
@@ -25,7 +25,7 @@
 	return Entry{Version: 9, Nonce: a.nonce}, w.retryErr
 }
 
-func (w *scriptedWriter) acquireOnce(context.Context, acquireArgs) (Entry, error) {
+func (w *scriptedWriter) tryAcquire(context.Context, acquireArgs) (Entry, error) {
 	return Entry{}, ErrAmbiguous
 }
 
--- a/kvstore/store.go
+++ b/kvstore/store.go
@@ -1,5 +1,10 @@
 // Package kvstore is the client of the platform's services: a small key-value
-// store with compare-and-swap, leases and watches, and a lagging host list.
+// store with compare-and-swap, leases and watches, and a host list that lags. Two
+// interfaces describe the store: Store, with one value per operation, and Keyspace,
+// with transactions and prefixes. The package holds no stored data itself, only
+// connections, a call budget, whether the platform answers, and the last entries of
+// watched keys. Entry hosts and batch hosts call the platform through it, and make
+// calls for each other while one of them cannot reach the platform.
 package kvstore
 
 import (
@@ -9,10 +14,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxValueBytes is the largest value the store takes, in bytes.
+// MaxValueBytes is the size limit of a value, in bytes.
 const MaxValueBytes = 1 << 20
 
-// The failures of the store. Callers compare with errors.Is.
+// The failures of the store. Compare them with errors.Is.
 var (
 	// ErrNotFound means that the key holds no value.
 	ErrNotFound = errors.New("platform: key not found; check the key or create it")
@@ -21,7 +26,7 @@
 	// ErrUnavailable means that the store was not reached and nothing was written.
 	ErrUnavailable = errors.New("platform: store unavailable; retry after a back-off")
 	// ErrAmbiguous means that a write may or may not have taken effect, and
-	// reading back did not settle which.
+	// reading the key back did not show which.
 	ErrAmbiguous = errors.New("platform: outcome of the write is unknown; read the key before retrying")
 	// ErrLeaseLost means that the lease has lapsed or was revoked.
 	ErrLeaseLost = errors.New("platform: lease lost; stop acting under it and acquire a new one")
@@ -29,7 +34,7 @@
 	ErrHeld = errors.New("platform: key is held by another lease; wait for it to lapse")
 )
 
-// callError is a failed call: one of the failures above, and its cause.
+// callError is the error of a failed call: one of the failures above and its cause.
 type callError struct{ kind, cause error }
 
 func (e *callError) Error() string   { return e.kind.Error() + ": " + e.cause.Error() }
@@ -52,7 +57,7 @@
 	Nonce   uint64 // of the write that made this version; 0: none
 }
 
-// Lease is a grant that lapses unless renewed.
+// Lease is a lease of a Store. It lapses unless renewed within TTL.
 type Lease struct {
 	ID  string
 	TTL time.Duration
@@ -88,7 +93,7 @@
 	Delete(ctx context.Context, key string) error
 }
 
-// HostKind tells what a listed host does.
+// HostKind is the role of a listed host.
 type HostKind string
 
 // The kinds of host.
@@ -98,7 +103,7 @@
 	Upstream  HostKind = "upstream"
 )
 
-// Host is one line of the platform's host list.
+// Host is one entry of the platform's host list.
 type Host struct {
 	Name          string   `json:"name"`
 	Kind          HostKind `json:"kind"`
@@ -113,12 +118,13 @@
 	Leaving       bool     `json:"leaving,omitempty"`
 }
 
-// HostLister reads the platform's host list, which lags behind the truth.
+// HostLister reads the platform's host list, which lags behind the actual state.
 type HostLister interface {
+	// Hosts returns the listed hosts.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// HostWatcher is a HostLister that can wait for a change, so that a long list
+// HostWatcher is a HostLister that can also wait for a change, so that a long list
 // is sent only when it changed.
 type HostWatcher interface {
 	HostLister
--- a/kvstore/urgent.go
+++ b/kvstore/urgent.go
@@ -4,7 +4,8 @@
 
 type urgentKey struct{}
 
-// Urgent marks calls under ctx as urgent: they pass the call budget first.
+// Urgent returns a context whose calls are urgent: they do not wait for the call
+// budget and are not held back while the platform is down.
 func Urgent(ctx context.Context) context.Context {
 	return context.WithValue(ctx, urgentKey{}, true)
 }
--- a/kvstore/watch.go
+++ b/kvstore/watch.go
@@ -8,8 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Watch implements Store. A watch that ends without a change is answered
-// without the value, which may be long, and the entry at hand is returned.
+// Watch implements Store. If the entry at version after is cached, the watch asks
+// the store only for the key's version, since the value may be long. The value is
+// read if the version changed; otherwise the cached entry is returned.
 func (g *Guard) Watch(ctx context.Context, key string, after uint64) (Entry, error) {
 	cached, found := g.cachedEntry(key, after)
 	if !found {
@@ -33,7 +34,7 @@
 	return e, err
 }
 
-// watchValue watches a key whose value at after is not at hand.
+// watchValue watches a key whose entry at version after is not cached.
 func (g *Guard) watchValue(ctx context.Context, key string, after uint64) (e Entry, err error) {
 	err = g.do(ctx, watchKind, storeWatchWait+watchGrace, func(ctx context.Context) error {
 		e, err = g.client.Watch(ctx, key, after)
@@ -45,6 +46,7 @@
 	return e, err
 }
 
+// cachedEntry returns the cached entry of a key if it is at version.
 func (g *Guard) cachedEntry(key string, version uint64) (Entry, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
