--- a/config/check.go
+++ b/config/check.go
@@ -7,10 +7,10 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// CheckDocuments checks what documents mean together with those in force,
+// CheckDocuments checks documents against each other and against those in force,
 // which they add to or replace. existing may be nil. The error is an
-// *apierr.Error that carries every mistake found; each document was checked on
-// its own when it was parsed.
+// *apierr.Error with every mistake found. Mistakes within a single document are
+// found by ParseDocuments.
 func CheckDocuments(docs []Document, existing *Snapshot) error {
 	if existing == nil {
 		existing = &Snapshot{}
@@ -27,12 +27,12 @@
 	return nil
 }
 
-// CheckSnapshot checks what a whole snapshot's documents mean together.
+// CheckSnapshot checks all documents of a snapshot against each other.
 func CheckSnapshot(snap *Snapshot) error {
 	return CheckDocuments(snap.Documents(), &Snapshot{Retired: snap.Retired})
 }
 
-// SnapshotOf returns the snapshot that documents make up, to check others against.
+// SnapshotOf returns a snapshot of docs, against which other documents can be checked.
 func SnapshotOf(revision uint64, docs []Document, retired map[string]uint64) *Snapshot {
 	s := merge(docs, &Snapshot{})
 	s.Revision, s.Retired = revision, retired
@@ -57,9 +57,9 @@
 	return docs
 }
 
-// resolveOut returns docs in which every failure domain is said to be out or in:
-// a document that leaves it open takes what is in force, so that applying it
-// again does not bring back a failure domain that was taken out meanwhile.
+// resolveOut returns docs with Out set in every failure domain's document. A
+// document that omits the field takes the value in force, so that applying it
+// again does not bring back a failure domain that was taken out in the meantime.
 func resolveOut(docs []Document, existing *Snapshot) []Document {
 	resolved := make([]Document, len(docs))
 	for i, d := range docs {
@@ -101,12 +101,14 @@
 	return out
 }
 
+// checker collects the mistakes of one CheckDocuments call.
 type checker struct {
-	existing *Snapshot
-	merged   *Snapshot
+	existing *Snapshot // documents in force
+	merged   *Snapshot // existing with the checked documents applied
 	mistakes []*apierr.Error
 }
 
+// addMistake records a mistake in a field of d, with its file and line if known.
 func (c *checker) addMistake(d *Document, field, message, remedy string) {
 	path := d.path
 	if path != "" && field != "" {
@@ -154,8 +156,8 @@
 	c.checkGuarantees(d, o)
 }
 
-// checkTokens refuses a hash that stands for two organisations: its bearer's
-// identity would be a matter of chance.
+// checkTokens refuses a hash that two organisations use, since the identity of a
+// caller with that token would be ambiguous.
 func (c *checker) checkTokens(d *Document, o *Organisation) {
 	seen := map[string]bool{}
 	for i, hash := range o.TokenHashes {
@@ -170,6 +172,7 @@
 	}
 }
 
+// usedByAnother reports whether another organisation has the token hash.
 func (c *checker) usedByAnother(organisation, hash string) bool {
 	for name, other := range c.merged.Organisations {
 		if name == organisation {
@@ -204,7 +207,8 @@
 	}
 }
 
-// checkShape checks what the ranges of single fields cannot.
+// checkShape checks limits on combinations of fields, which the ranges of single
+// fields do not cover.
 func (c *checker) checkShape(d *Document, field string, s job.Shape) {
 	if s.Adjacency == job.SameWorker && s.Accelerators() > maxAcceleratorsPerTask {
 		message := fmt.Sprintf("%d accelerators on one worker", s.Accelerators())
@@ -278,8 +282,9 @@
 	}
 }
 
-// checkTeamsInUse refuses an organisation's document that drops a team, or lowers a
-// quota, under a service that is not itself replaced in the same edit.
+// checkTeamsInUse refuses an organisation's document that drops a team of a service,
+// or lowers its quota below a job template of the service, unless the same edit
+// replaces the service.
 func (c *checker) checkTeamsInUse(docs []Document) {
 	replaced := map[string]bool{}
 	for i := range docs {
@@ -298,6 +303,8 @@
 	}
 }
 
+// checkTeamOf checks that organisation document d keeps the team of service s, with
+// a sufficient quota.
 func (c *checker) checkTeamOf(d *Document, s *Service) {
 	team, ok := findTeam(*d.Organisation, s.Team)
 	if !ok {
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -51,12 +51,12 @@
 		{"duplicate team", `{"name": "levy", "quota": 64}`, `{"name": "levy"}, {"name": "levy"}`, "d:4: [1].teams[1].name: organisation/pwani: team levy appears twice"},
 		{"shared token", hashB, hashA, "d:3: [1].tokenHashes[0]: organisation/pwani: hash is in use by another organisation"},
 		{"unknown failure domain", `"failureDomain": "fd-a"`, `"failureDomain": "fd-z"`, "d:5: [1].guarantees[0].failureDomain: organisation/pwani: unknown failure domain fd-z"},
-		{"too much for a worker", `{"tasks": 2, "acceleratorsPerTask": 8}`, `{"tasks": 9, "acceleratorsPerTask": 8, "adjacency": "worker"}`, "d:5: [1].guarantees[0].shape: organisation/pwani: 72 accelerators on one worker"},
+		{"too many accelerators for a worker", `{"tasks": 2, "acceleratorsPerTask": 8}`, `{"tasks": 9, "acceleratorsPerTask": 8, "adjacency": "worker"}`, "d:5: [1].guarantees[0].shape: organisation/pwani: 72 accelerators on one worker"},
 		{"unknown organisation", `"organisation": "pwani"`, `"organisation": "bahari"`, "d:7: [3].organisation: service/filings: unknown organisation bahari"},
 		{"unknown team", `"team": "levy"`, `"team": "ops"`, "d:7: [3].team: service/filings: organisation pwani has no team ops"},
 		{"beyond the quota", `"tasks": 4`, `"tasks": 16`, "d:8: [3].jobs[0].shape: service/filings: 128 accelerators exceed the quota of team levy, 64"},
-		{"shared with itself", `["ziwa"]`, `["pwani"]`, "d:9: [3].requests.shareWith[0]: service/filings: organisation pwani may call already"},
-		{"shared with nobody", `["ziwa"]`, `["bahari"]`, "d:9: [3].requests.shareWith[0]: service/filings: unknown organisation bahari"},
+		{"shared with its own organisation", `["ziwa"]`, `["pwani"]`, "d:9: [3].requests.shareWith[0]: service/filings: organisation pwani may call already"},
+		{"shared with an unknown organisation", `["ziwa"]`, `["bahari"]`, "d:9: [3].requests.shareWith[0]: service/filings: unknown organisation bahari"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,7 +85,8 @@
 	}
 }
 
-// Applying a file again must not bring back what operators took out meanwhile.
+// Applying a file again must not bring back a failure domain that operators took
+// out in the meantime.
 func TestResolveOut_OmittedFieldKeepsStateInForce(t *testing.T) {
 	inForce := &Snapshot{FailureDomains: map[string]FailureDomain{"fd-a": {Name: "fd-a", Region: "east", Out: true}}}
 	cases := []struct {
--- a/config/configuration.go
+++ b/config/configuration.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// manifest names every document of one revision by its content's hash. It is
-// immutable. Its JSON is canonical: maps are written in the order of their keys.
+// manifest lists the documents of one revision with references to their content.
+// It is immutable. Its JSON is canonical, since map keys are sorted.
 type manifest struct {
 	Revision  uint64            `json:"revision"`
 	Documents map[string]string `json:"documents"` // Document.ID to reference
@@ -20,19 +20,20 @@
 
 func (m manifest) encode() ([]byte, error) { return json.Marshal(m) }
 
-// hashBytes is how much of the SHA-256 names content. The manifest, which is
-// read with every edit, repeats it for each document.
+// hashBytes is the number of bytes of the SHA-256 that identify content. It is less
+// than all 32 because the manifest, which is read with every edit, holds a hash for
+// each document.
 const hashBytes = 16
 
-// contentHash names content by the first half of its SHA-256.
+// contentHash returns the first half of content's SHA-256 in base64.
 func contentHash(content []byte) string {
 	sum := sha256.Sum256(content)
 	return base64.RawURLEncoding.EncodeToString(sum[:hashBytes])
 }
 
-// newReference names content by its hash and the edit that wrote it. Content
-// that a later edit drops is never referenced again, even when the same text
-// returns, so it can be deleted.
+// newReference returns a reference to content by its hash and the nonce of the edit
+// that wrote it. Once a later edit drops the reference, no revision uses it again,
+// even if the same text returns, so the content can be deleted.
 func newReference(hash, nonce string) string { return hash + "." + nonce }
 
 // referenceHash returns the hash in a reference.
@@ -41,8 +42,8 @@
 	return hash
 }
 
-// configuration is one revision in full: the manifest, the documents and the snapshot
-// made of them. It is immutable.
+// configuration is one complete revision: its manifest, its documents and their
+// snapshot. It is immutable.
 type configuration struct {
 	manifest manifest
 	hash     string            // of the manifest's encoding
@@ -50,12 +51,13 @@
 	snap     *Snapshot
 }
 
-// emptyConfiguration is what a host knows before it has read anything.
+// emptyConfiguration returns the configuration at revision 0, before any was read.
 func emptyConfiguration() *configuration {
 	m := manifest{Documents: map[string]string{}, Retired: map[string]uint64{}}
 	return &configuration{manifest: m, content: map[string][]byte{}, snap: newSnapshot(m)}
 }
 
+// newSnapshot returns a snapshot of m without its documents.
 func newSnapshot(m manifest) *Snapshot {
 	return &Snapshot{
 		Revision:       m.Revision,
@@ -68,64 +70,66 @@
 	}
 }
 
-// assemble makes an edition out of a manifest and at least the content that it
-// names. A document that is missing or damaged fails the whole edition: it is
-// never taken for a retirement.
+// assemble builds a configuration from a manifest and content, which holds at least
+// the documents that the manifest refers to. If one is missing or damaged, assemble
+// fails, so that a document that could not be read is never taken for a retired one.
 func assemble(m manifest, content map[string][]byte) (*configuration, error) {
 	raw, err := m.encode()
 	if err != nil {
 		return nil, err
 	}
-	e := &configuration{manifest: m, hash: contentHash(raw), content: make(map[string][]byte, len(m.Documents)), snap: newSnapshot(m)}
+	c := &configuration{manifest: m, hash: contentHash(raw), content: make(map[string][]byte, len(m.Documents)), snap: newSnapshot(m)}
 	for id, reference := range m.Documents {
 		hash := referenceHash(reference)
 		body, ok := content[hash]
 		if !ok || contentHash(body) != hash {
 			return nil, errors.Newf("revision %d: document %s is missing or damaged", m.Revision, id)
 		}
-		if err := e.addDocument(hash, body); err != nil {
+		if err := c.addDocument(hash, body); err != nil {
 			return nil, errors.Wrapf(err, "revision %d: document %s", m.Revision, id)
 		}
 	}
-	return e, nil
+	return c, nil
 }
 
-func (e *configuration) addDocument(hash string, body []byte) error {
+// addDocument decodes a document and adds it to the content and the snapshot.
+func (c *configuration) addDocument(hash string, body []byte) error {
 	var d Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		return err
 	}
-	e.content[hash] = body
+	c.content[hash] = body
 	switch d.Kind {
 	case KindOrganisation:
-		e.snap.Organisations[d.Name()] = *d.Organisation
+		c.snap.Organisations[d.Name()] = *d.Organisation
 	case KindService:
-		e.addService(*d.Service)
+		c.addService(*d.Service)
 	case KindFailureDomain:
-		e.snap.FailureDomains[d.Name()] = *d.FailureDomain
+		c.snap.FailureDomains[d.Name()] = *d.FailureDomain
 	}
 	return nil
 }
 
-// addService keeps a retired service's last document apart: it tells whose
-// callers may learn of the retirement.
-func (e *configuration) addService(s Service) {
-	if _, retired := e.snap.Retired[s.Name]; retired {
-		e.snap.RetiredServices[s.Name] = s
+// addService adds a service to the snapshot. A retired service's last document goes
+// to RetiredServices: it shows which organisations' callers may be told of the
+// retirement.
+func (c *configuration) addService(s Service) {
+	if _, retired := c.snap.Retired[s.Name]; retired {
+		c.snap.RetiredServices[s.Name] = s
 		return
 	}
-	e.snap.Services[s.Name] = s
+	c.snap.Services[s.Name] = s
 }
 
-// withEdit returns the edition that follows e with docs added or replaced and
-// services retired, or e itself when that changes nothing. nonce is the edit's.
-func (e *configuration) withEdit(docs []Document, retired []string, nonce string) (*configuration, error) {
+// withEdit returns the next revision after c, with docs added or replaced and
+// services retired, or c itself if that changes nothing. nonce identifies the edit.
+func (c *configuration) withEdit(docs []Document, retired []string, nonce string) (*configuration, error) {
 	m := manifest{
-		Revision:  e.manifest.Revision + 1,
-		Documents: maps.Clone(e.manifest.Documents),
-		Retired:   maps.Clone(e.manifest.Retired),
+		Revision:  c.manifest.Revision + 1,
+		Documents: maps.Clone(c.manifest.Documents),
+		Retired:   maps.Clone(c.manifest.Retired),
 	}
-	content := maps.Clone(e.content)
+	content := maps.Clone(c.content)
 	for _, d := range docs {
 		body, err := json.Marshal(d)
 		if err != nil {
@@ -140,57 +144,57 @@
 	for _, name := range retired {
 		m.Retired[name] = m.Revision
 	}
-	if maps.Equal(m.Documents, e.manifest.Documents) && maps.Equal(m.Retired, e.manifest.Retired) {
-		return e, nil
+	if maps.Equal(m.Documents, c.manifest.Documents) && maps.Equal(m.Retired, c.manifest.Retired) {
+		return c, nil
 	}
 	return assemble(m, content)
 }
 
-// droppedReferences lists the references of base that e no longer has.
-func (e *configuration) droppedReferences(base *configuration) []string {
+// droppedReferences returns the references in base that c no longer has.
+func (c *configuration) droppedReferences(base *configuration) []string {
 	var out []string
 	for id, reference := range base.manifest.Documents {
-		if e.manifest.Documents[id] != reference {
+		if c.manifest.Documents[id] != reference {
 			out = append(out, reference)
 		}
 	}
 	return out
 }
 
-// Delta turns the manifest at revision From into the one at Revision. From 0
-// stands for the empty manifest.
+// Delta is the difference between the manifests at revisions From and Revision. If
+// From is 0, it is the difference from the empty manifest.
 type Delta struct {
 	From      uint64
 	Revision  uint64
 	Hash      string            // of the resulting manifest
 	Documents map[string]string // added or replaced
-	Removed   []string          // no longer named
+	Removed   []string          // IDs of documents no longer in the manifest
 	Retired   map[string]uint64 // added
 	Content   map[string][]byte // of the added documents
 }
 
-// deltaFrom returns what leads from an older manifest to e.
-func (e *configuration) deltaFrom(old manifest) *Delta {
+// deltaFrom returns the delta from an older manifest to c.
+func (c *configuration) deltaFrom(old manifest) *Delta {
 	d := &Delta{
 		From:      old.Revision,
-		Revision:  e.manifest.Revision,
-		Hash:      e.hash,
+		Revision:  c.manifest.Revision,
+		Hash:      c.hash,
 		Documents: map[string]string{},
 		Retired:   map[string]uint64{},
 		Content:   map[string][]byte{},
 	}
-	for id, reference := range e.manifest.Documents {
+	for id, reference := range c.manifest.Documents {
 		if old.Documents[id] != reference {
 			d.Documents[id] = reference
-			d.Content[referenceHash(reference)] = e.content[referenceHash(reference)]
+			d.Content[referenceHash(reference)] = c.content[referenceHash(reference)]
 		}
 	}
 	for id := range old.Documents {
-		if _, ok := e.manifest.Documents[id]; !ok {
+		if _, ok := c.manifest.Documents[id]; !ok {
 			d.Removed = append(d.Removed, id)
 		}
 	}
-	for name, revision := range e.manifest.Retired {
+	for name, revision := range c.manifest.Retired {
 		if old.Retired[name] != revision {
 			d.Retired[name] = revision
 		}
@@ -198,15 +202,15 @@
 	return d
 }
 
-// applyDelta returns the edition that d leads to from e, which must be at d.From
-// unless d is whole.
-func (e *configuration) applyDelta(d *Delta) (*configuration, error) {
-	base := e
+// applyDelta returns the configuration that results from applying d to c, which must
+// be at revision d.From unless that is 0.
+func (c *configuration) applyDelta(d *Delta) (*configuration, error) {
+	base := c
 	if d.From == 0 {
 		base = emptyConfiguration()
 	}
 	if base.manifest.Revision != d.From {
-		return nil, errors.Newf("change from revision %d does not fit revision %d", d.From, base.manifest.Revision)
+		return nil, errors.Newf("delta from revision %d does not apply to revision %d", d.From, base.manifest.Revision)
 	}
 	m := manifest{Revision: d.Revision, Documents: maps.Clone(base.manifest.Documents), Retired: maps.Clone(base.manifest.Retired)}
 	for _, id := range d.Removed {
@@ -221,7 +225,7 @@
 		return nil, err
 	}
 	if next.hash != d.Hash {
-		return nil, errors.Newf("revision %d: manifest differs from the one announced", d.Revision)
+		return nil, errors.Newf("revision %d: manifest does not match the delta's hash", d.Revision)
 	}
 	return next, nil
 }
--- a/config/credentials.go
+++ b/config/credentials.go
@@ -7,14 +7,14 @@
 	"github.com/cyclamentray/cyclamentray/auth"
 )
 
-// Credentials returns a function that gives the organisations' credentials in
-// force, for auth.Options. It is safe for concurrent use.
+// Credentials returns a function that returns the organisations' credentials in
+// force, for auth.Options. The function is safe for concurrent use.
 func Credentials(src Source) func() []auth.Credential {
 	c := &credentialCache{src: src}
 	return c.current
 }
 
-// credentialCache decodes hashes once a snapshot, not once a request.
+// credentialCache decodes token hashes once per snapshot instead of once per request.
 type credentialCache struct {
 	src  Source
 	mu   sync.Mutex
@@ -44,6 +44,7 @@
 	return list
 }
 
+// sortedNames returns the keys of m in order.
 func sortedNames[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/config/distributor.go
+++ b/config/distributor.go
@@ -16,20 +16,23 @@
 )
 
 const (
-	// schedulerReadInterval is the time between freshness reads of a scheduler. They
-	// overlap, so that a slow platform delays what is known without stopping it.
+	// schedulerReadInterval is the time between two reads of the head by a
+	// scheduler. Reads may overlap, so that a slow platform delays confirmations
+	// but does not make them less frequent.
 	schedulerReadInterval = 500 * time.Millisecond
-	// relayReadInterval is the same for a host that only passes the news on.
+	// relayReadInterval is the time between two reads of the head by a host that
+	// is no scheduler.
 	relayReadInterval = time.Second
 	headReadTimeout   = 2 * time.Second
-	maxReadsInFlight  = 4 // in flight at once
-	// fetchTimeout bounds the fetching of a whole revision.
+	maxReadsInFlight  = 4
+	// fetchTimeout bounds loading one revision.
 	fetchTimeout = 10 * time.Second
-	// staleAfter is the age from which a host also asks its peers.
+	// staleAfter is the age of the last confirmation from which a host also asks
+	// its peers, every peerFetchInterval.
 	staleAfter        = 2 * time.Second
 	peerFetchInterval = 2 * time.Second
-	// maxPastManifests is how many past manifests are kept to answer peers with
-	// changes alone.
+	// maxPastManifests is the number of past manifests kept, so that peers can be
+	// sent only the changes since theirs.
 	maxPastManifests = 64
 )
 
@@ -39,7 +42,7 @@
 	Peers   peer.Caller
 	Members membership.Source
 	Seeds   []string    // peer addresses to ask before members are known
-	Direct  func() bool // this host must confirm with the platform itself, as a scheduler must; nil: no
+	Direct  func() bool // reports whether this host must read the platform itself, as a scheduler must; nil: no
 	Now     func() time.Time
 	Logger  *log.Logger
 	Metrics *metrics.Set
@@ -55,28 +58,30 @@
 	return o
 }
 
-// Distributor keeps the newest configuration of one entry host. One host of
-// each failure domain reads the platform, and the others ask that one, unless
-// it fails them. It is safe for concurrent use.
+// Distributor keeps one entry host's copy of the configuration up to date. In each
+// failure domain one host, the relay, reads the platform, and the others poll the
+// relay; a host whose relay fails, or whose Options.Direct returns true, reads the
+// platform itself. It is safe for concurrent use.
 type Distributor struct {
 	opts       Options
 	repository repository
 
 	mu                sync.Mutex
 	current           *configuration
-	confirmed         time.Time  // local time before the platform was asked
-	pastManifests     []manifest // oldest first, without the current one
-	changed           chan struct{}
-	readsInFlight     int       // freshness reads in flight
-	lastReadSent      time.Time // when the last one was sent
-	fetchingRevision  uint64    // revision being fetched; 0: none
-	relayRetryAt      time.Time // until then the relay is not asked
-	relayPollInFlight bool      // a call to the relay is in flight
-	lastPeerFetch     time.Time // when a peer was last asked because of staleness
-	calls             sync.WaitGroup
+	confirmed         time.Time     // local time before the read that confirmed current; zero: never
+	pastManifests     []manifest    // oldest first, without the current one
+	changed           chan struct{} // closed and replaced when current changes
+	readsInFlight     int           // reads of the head in flight
+	lastReadSent      time.Time     // when the last read of the head was sent
+	fetchingRevision  uint64        // revision being fetched; 0: none
+	relayRetryAt      time.Time     // until then the platform is read instead of polling the relay
+	relayPollInFlight bool          // whether a poll of the relay is in flight
+	lastPeerFetch     time.Time     // when a peer was last asked because of staleness
+	inFlight          sync.WaitGroup
 }
 
-// NewDistributor returns a distributor that knows nothing; call Run.
+// NewDistributor returns a distributor with an empty configuration. Run fills it and
+// keeps it up to date.
 func NewDistributor(opts Options) *Distributor {
 	d := &Distributor{
 		opts:       opts.withDefaults(),
@@ -105,8 +110,8 @@
 	return d.changed
 }
 
-// Age returns the time since the snapshot was last confirmed as the newest, or
-// an hour at least when it never was.
+// Age returns the time since the snapshot was last confirmed as the newest, or an
+// hour if it never was.
 func (d *Distributor) Age() time.Duration {
 	_, confirmed := d.Current()
 	if confirmed.IsZero() {
@@ -132,7 +137,7 @@
 		case <-ctx.Done():
 		}
 	}
-	d.calls.Wait()
+	d.inFlight.Wait()
 	return nil
 }
 
@@ -140,24 +145,24 @@
 	relay := d.relayAddress()
 	plan := d.planTick(d.opts.Now(), relay != "", d.opts.Direct())
 	if plan.readHead {
-		d.calls.Go(func() { d.readHead(ctx) })
+		d.inFlight.Go(func() { d.readHead(ctx) })
 	}
 	if plan.pollRelay {
-		d.calls.Go(func() { d.pollRelay(ctx, relay) })
+		d.inFlight.Go(func() { d.pollRelay(ctx, relay) })
 	}
 	if plan.fetchFromPeer {
-		d.calls.Go(func() { d.fetchFromRandomPeer(ctx) })
+		d.inFlight.Go(func() { d.fetchFromRandomPeer(ctx) })
 	}
 }
 
-// tickPlan is what a tick starts.
+// tickPlan is the set of calls that a tick starts.
 type tickPlan struct {
 	readHead      bool // read the head from the platform
-	pollRelay     bool // ask the relay
-	fetchFromPeer bool // ask any peer, as nothing was confirmed lately
+	pollRelay     bool // poll the relay
+	fetchFromPeer bool // ask a random peer, as the last confirmation is older than staleAfter
 }
 
-// planTick decides what to start at now, and marks it as started.
+// planTick decides which calls to start at now and records them as started.
 func (d *Distributor) planTick(now time.Time, hasRelay, schedules bool) (plan tickPlan) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,9 +184,8 @@
 	return plan
 }
 
-// relayAddress returns the address of the neighbour that reads the platform for this
-// failure domain: the first by name that neither leaves nor is silent. It is
-// empty when that is this host.
+// relayAddress returns the address of this failure domain's relay: the host first
+// by name that is neither leaving nor silent. It is empty if this host is the relay.
 func (d *Distributor) relayAddress() string {
 	if d.opts.Members == nil || d.opts.Peers == nil {
 		return ""
@@ -195,7 +199,8 @@
 	return ""
 }
 
-// readHead asks the platform which revision is the newest.
+// readHead reads from the platform which revision is the newest, and loads that
+// revision if this host does not have it.
 func (d *Distributor) readHead(ctx context.Context) {
 	defer func() {
 		d.mu.Lock()
@@ -216,9 +221,10 @@
 	d.fetchRevision(ctx, h, sent)
 }
 
-// confirmHead notes that the platform named the current edition as the newest at
-// sent. It returns false when the platform named a newer one. An older one is
-// a stale answer and counts for nothing.
+// confirmHead compares a head read at sent with the current configuration. It
+// returns false if the head is newer. If the head names the current configuration,
+// that is confirmed as of sent. A head that is older or of another manifest is a
+// stale answer, which confirms nothing and is only counted.
 func (d *Distributor) confirmHead(h head, sent time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +239,8 @@
 	return true
 }
 
-// fetchRevision reads a newer edition whole. One fetchRevision of a revision runs at a time.
+// fetchRevision loads the newer revision that h names and adopts it. It does nothing
+// if that or a later revision is being fetched already.
 func (d *Distributor) fetchRevision(ctx context.Context, h head, sent time.Time) {
 	d.mu.Lock()
 	if d.fetchingRevision >= h.Revision {
@@ -245,7 +252,7 @@
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	if known.manifest.Revision == 0 { // a booting host spares the platform hundreds of reads
+	if known.manifest.Revision == 0 { // a peer's copy saves the platform hundreds of reads when a host starts
 		d.fetchFromRandomPeer(ctx)
 		known = d.newest()
 	}
@@ -253,7 +260,7 @@
 	if err == nil {
 		d.adopt(next, sent)
 	} else {
-		d.opts.Logger.Warn("revision not taken", "revision", h.Revision, "err", err)
+		d.opts.Logger.Warn("could not load revision", "revision", h.Revision, "err", err)
 	}
 	d.mu.Lock()
 	if d.fetchingRevision == h.Revision {
@@ -262,9 +269,9 @@
 	d.mu.Unlock()
 }
 
-// adopt puts an edition in force if it is newer than the current one.
-// confirmed is when the platform is known to have named it as the newest; zero
-// when it is not known.
+// adopt puts next in force if it is newer than the current configuration.
+// confirmed is the time at which the platform is known to have named it as the
+// newest; zero if unknown.
 func (d *Distributor) adopt(next *configuration, confirmed time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -286,7 +293,8 @@
 	}
 }
 
-// fetchFromRandomPeer asks one peer for a newer edition while the platform is not heard.
+// fetchFromRandomPeer asks one random peer or seed for a newer configuration and a
+// later confirmation.
 func (d *Distributor) fetchFromRandomPeer(ctx context.Context) {
 	if d.opts.Peers == nil {
 		return
--- a/config/distributor_test.go
+++ b/config/distributor_test.go
@@ -20,7 +20,7 @@
 	revision, err := f.editor(0).Apply(ctx, []config.Document{failureDomain("n1"), organisation("o")}, 0)
 	must.NoError(t, err)
 	f.awaitRevision(revision)
-	f.await(func() bool { // the relays serve the others
+	f.await(func() bool { // until every host is up to date through its relay
 		for _, m := range f.hosts {
 			if m.Age() > 2*time.Second {
 				return false
@@ -41,7 +41,7 @@
 
 func TestRevisionNeverReverts(t *testing.T) {
 	cases := map[string]kv.Faults{
-		"store answers from an older copy": {StaleReads: true},
+		"store returns stale reads": {StaleReads: true},
 		"store is down":                    {Down: true},
 		"store is down and slow":           {Down: true, Delay: 300 * time.Millisecond},
 	}
@@ -67,7 +67,7 @@
 				}
 			}
 			_, later := f.hosts[0].Current()
-			must.Less(t, time.Second, later.Sub(confirmed)) // such answers confirm nothing
+			must.Less(t, time.Second, later.Sub(confirmed)) // failed and stale reads confirm nothing
 		})
 	}
 }
@@ -91,18 +91,19 @@
 
 func TestHostReadsPlatformWhenRelayFails(t *testing.T) {
 	f := newFleet(t, 1, 3)
-	f.hosts[1].start() // hosts[0], which the others ask first, answers but never reads
+	f.hosts[1].start() // hosts[0] is the relay; it answers polls but never reads the platform
 	f.hosts[2].start()
 	revision, err := f.editor(1).Apply(context.Background(), []config.Document{failureDomain("n1")}, 0)
 	must.NoError(t, err)
 	f.await(func() bool { return f.hosts[2].revision() == revision })
-	must.NoError(t, f.hosts[0].server.Close()) // and now it is gone
+	must.NoError(t, f.hosts[0].server.Close()) // now the relay does not answer either
 	revision, err = f.editor(1).SetFailureDomain(context.Background(), "n1", true)
 	must.NoError(t, err)
 	f.await(func() bool { return f.hosts[2].revision() == revision && f.hosts[2].Age() < 2*time.Second })
 }
 
-// lossyStore misses every content key but the ones it let through.
+// lossyStore serves the first remaining reads of content and reports later ones as
+// not found.
 type lossyStore struct {
 	kvstore.Store
 	remaining atomic.Int32
@@ -117,16 +118,18 @@
 	return s.Store.Get(ctx, key)
 }
 
+// A document that cannot be read must fail the whole revision. Otherwise a service
+// whose document is missing would be taken for retired.
 func TestMissingContentFailsTheWholeRevision(t *testing.T) {
 	ctx := context.Background()
 	_, store := newStore(t)
 	e := config.NewEditor(config.EditorOptions{Store: store})
 	_, err := e.Apply(ctx, []config.Document{organisation("o"), serviceDoc("s", "o"), serviceDoc("u", "o")}, 0)
 	must.NoError(t, err)
-	for left := range 4 { // the manifest and three documents
+	for readable := range 4 { // a complete read takes 4: the manifest and three documents
 		runCtx, stop := context.WithCancel(ctx)
 		lossy := &lossyStore{Store: store}
-		lossy.remaining.Store(int32(left))
+		lossy.remaining.Store(int32(readable))
 		d := config.NewDistributor(config.Options{Store: lossy})
 		done := make(chan struct{})
 		go func() { defer close(done); _ = d.Run(runCtx) }()
--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,8 @@
-// Package config holds the operators' documents, their checks, and the
-// snapshots by which every entry host sees them at one revision.
+// Package config holds the operators' documents, their checks, and their
+// distribution. An Editor stores edits on the platform, each as a new revision of
+// all documents; a Distributor on each entry host keeps a copy of the newest
+// revision and gives it to the host's other packages as an immutable Snapshot. The
+// command line uses the package to read and check documents.
 package config
 
 import (
@@ -18,8 +21,8 @@
 	KindFailureDomain Kind = "failure-domain"
 )
 
-// Organisation holds guarantees and has teams. It keeps only SHA-256 hashes of
-// its callers' tokens, in lower-case hexadecimal.
+// Organisation is an organisation with its teams and guarantees. Of its callers'
+// tokens it holds only the SHA-256 hashes, in lower-case hexadecimal.
 type Organisation struct {
 	Name        string      `json:"name"`
 	TokenHashes []string    `json:"tokenHashes"`
@@ -40,7 +43,7 @@
 	Count         int       `json:"count"`
 }
 
-// Service says which jobs and requests a service may run, and for whom.
+// Service defines which jobs and requests a service may run, and for whom.
 type Service struct {
 	Name         string        `json:"name"`
 	Organisation string        `json:"organisation"`
@@ -49,7 +52,7 @@
 	Requests     *Requests     `json:"requests,omitempty"` // nil: the service takes no requests
 }
 
-// JobTemplate bounds the jobs that a service may submit.
+// JobTemplate limits the jobs that a service may submit under it.
 type JobTemplate struct {
 	Name        string    `json:"name"`
 	Shape       job.Shape `json:"shape"`       // largest shape of a job of this template
@@ -59,7 +62,7 @@
 	MaxFailures int       `json:"maxFailures"` // failed runs before the job itself fails
 }
 
-// Requests says how a service's short requests are treated.
+// Requests defines how a service's short requests are handled.
 type Requests struct {
 	TimeoutMillis     int      `json:"timeoutMillis"`
 	IdempotentMethods []string `json:"idempotentMethods"` // methods that may be sent again
@@ -69,7 +72,8 @@
 // Timeout returns the longest a request may take.
 func (r Requests) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
-// FailureDomain is a failure domain and whether operators have taken it out.
+// FailureDomain is a failure domain and whether operators have taken it out of
+// service.
 type FailureDomain struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
@@ -79,20 +83,20 @@
 // Snapshot is every document at one revision. It is immutable once published;
 // readers share it without locks.
 type Snapshot struct {
-	Revision       uint64 // grows with every accepted edit; 0: nothing read yet
+	Revision       uint64 // grows with every accepted edit; 0: no revision read yet
 	Organisations  map[string]Organisation
 	Services       map[string]Service
 	FailureDomains map[string]FailureDomain
-	Retired        map[string]uint64 // service name to the revision that retired it
+	Retired        map[string]uint64 // service name to the revision that retired it; names are never reused
 
 	RetiredServices map[string]Service // last documents of retired services
 }
 
-// Source gives the newest snapshot that a host knows.
+// Source provides the newest snapshot that a host has.
 // It is safe for concurrent use.
 type Source interface {
-	// Current returns the newest snapshot, never nil, and the local time before
-	// the platform was asked when it last confirmed this snapshot as the newest.
+	// Current returns the newest snapshot, never nil, and when the platform last
+	// confirmed it as the newest: the local time before that read was sent.
 	Current() (snap *Snapshot, confirmed time.Time)
 	// Changed returns a channel that is closed when a newer snapshot is in force.
 	Changed() <-chan struct{}
--- a/config/editor.go
+++ b/config/editor.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// maxEditAttempts bounds how often an edit that names no expected revision is
-	// put on top of other operators' edits.
+	// maxEditAttempts bounds the attempts at an edit without an expected revision,
+	// which is retried on top of other operators' edits.
 	maxEditAttempts = 8
-	editBackoff     = 20 * time.Millisecond
+	editBackoff     = 20 * time.Millisecond // bound of the first random back-off, doubling per attempt; also the pause after a failed read
 )
 
 // EditorOptions configures an Editor.
 type EditorOptions struct {
 	Store       kvstore.Store
-	Distributor *Distributor // learns accepted edits at once
+	Distributor *Distributor // adopts accepted edits at once; may be nil
 	Now         func() time.Time
 	Logger      *log.Logger
 	Metrics     *metrics.Set
 }
 
-// Editor makes operators' edits. An edit is accepted by one compare-and-swap of
-// the manifest key. It is safe for concurrent use.
+// Editor makes operators' edits. One compare-and-swap of the head's key puts an
+// edit in force. It is safe for concurrent use.
 type Editor struct {
 	opts       EditorOptions
 	repository repository
@@ -48,7 +48,8 @@
 	return &Editor{opts: opts, repository: repository{store: opts.Store}}
 }
 
-// editFunc is what an operator asks for, worked out against what is in force.
+// editFunc computes an edit from the snapshot in force: the documents to add or
+// replace, and the names of the services to retire.
 type editFunc func(snap *Snapshot) (docs []Document, retired []string, err error)
 
 // Apply adds or replaces documents if the configuration is still at revision
@@ -59,7 +60,7 @@
 	})
 }
 
-// Retire ends a service for good, on top of whatever is in force, and returns
+// Retire retires a service permanently, whatever revision is in force, and returns
 // the revision that retired it.
 func (e *Editor) Retire(ctx context.Context, service string) (uint64, error) {
 	return e.runEdit(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
@@ -73,8 +74,8 @@
 	})
 }
 
-// SetFailureDomain takes a failure domain out or brings it back, on top of
-// whatever is in force, and returns the revision.
+// SetFailureDomain takes a failure domain out of service or brings it back,
+// whatever revision is in force, and returns the revision.
 func (e *Editor) SetFailureDomain(ctx context.Context, name string, out bool) (uint64, error) {
 	return e.runEdit(ctx, nil, func(snap *Snapshot) ([]Document, []string, error) {
 		fd, ok := snap.FailureDomains[name]
@@ -86,9 +87,10 @@
 	})
 }
 
-// runEdit tries an edit until it is accepted or refused. With an expected revision
-// it never goes on top of another. Its calls are urgent: operators wait for it,
-// and a failure domain may have to be out at once.
+// runEdit makes an edit. If another edit is accepted first, it tries again, up to
+// maxEditAttempts times, or returns a conflict if expected is set. Its calls are
+// urgent: operators wait for it, and a failure domain may have to be taken out at
+// once.
 func (e *Editor) runEdit(ctx context.Context, expected *uint64, change editFunc) (uint64, error) {
 	ctx = kvstore.Urgent(ctx)
 	for attempt := range maxEditAttempts {
@@ -107,6 +109,8 @@
 	return 0, err
 }
 
+// tryEdit makes one attempt at an edit. It returns kvstore.ErrConflict if another
+// edit is accepted first.
 func (e *Editor) tryEdit(ctx context.Context, expected *uint64, change editFunc) (uint64, error) {
 	h, version, err := e.repository.readHead(ctx)
 	if err != nil {
@@ -140,7 +144,7 @@
 	return revision, err
 }
 
-// commitEdit swaps the head. That is the moment at which the edit is in force.
+// commitEdit swaps the head, which puts the edit in force.
 func (e *Editor) commitEdit(ctx context.Context, next *configuration, old head, version uint64, nonce string) (uint64, error) {
 	edits := append(append([]string(nil), old.Edits...), nonce)
 	if len(edits) > maxRecentEdits {
@@ -162,9 +166,9 @@
 	return next.manifest.Revision, nil
 }
 
-// resolveSwap finds out whether a swap took effect whose answer was lost. While the
-// head is unchanged the swap may still be under way, so the same one is sent
-// again: at most one of them is applied.
+// resolveSwap finds out whether a swap of the head whose answer was lost took effect.
+// While the head is unchanged, the swap may still be in flight, so an identical one
+// is sent; the store applies at most one of them.
 func (e *Editor) resolveSwap(ctx context.Context, h head, nonce string, version uint64) error {
 	for ctx.Err() == nil {
 		found, foundVersion, err := e.repository.readHead(ctx)
@@ -175,7 +179,7 @@
 			return nil
 		case foundVersion != version && found.Revision < h.Revision+maxRecentEdits:
 			return kvstore.ErrConflict
-		case foundVersion != version: // too many edits since for the head to tell
+		case foundVersion != version: // the head lists only the last maxRecentEdits edits
 			return errOutcomeUnknown
 		default:
 			if err := e.repository.swapHead(ctx, h, version); err == nil {
@@ -186,9 +190,11 @@
 	return errOutcomeUnknown
 }
 
+// errOutcomeUnknown is the error of an edit that resolveSwap could not resolve.
 var errOutcomeUnknown = apierr.New(apierr.OutcomeUnknown, "the platform's answer was lost, and reading back did not settle it",
 	"read the configuration and see whether the edit is in it before applying it again")
 
+// knownConfiguration returns a configuration whose content need not be read again.
 func (e *Editor) knownConfiguration() *configuration {
 	if e.opts.Distributor == nil {
 		return emptyConfiguration()
@@ -204,7 +210,8 @@
 	e.opts.Metrics.GetOrCreateCounter(fmt.Sprintf(`cyclamentray_config_edits_total{outcome=%q}`, outcome)).Inc()
 }
 
-// toAPIError turns a failure of the platform into one that an operator can act on.
+// toAPIError turns a failure of the platform into an *apierr.Error with a remedy for
+// the operator.
 func toAPIError(err error) error {
 	var known *apierr.Error
 	switch {
@@ -216,6 +223,7 @@
 	return apierr.New(apierr.Unavailable, "the platform was not reached, and nothing was changed: "+err.Error(), "apply the edit again when the platform answers")
 }
 
+// errorOrNil returns e as an error that is nil if e is nil.
 func errorOrNil(e *apierr.Error) error {
 	if e == nil {
 		return nil
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -72,17 +72,17 @@
 	e := config.NewEditor(config.EditorOptions{Store: store})
 	revision, err := e.Apply(ctx, []config.Document{failureDomain("n1"), failureDomain("n2")}, 0)
 	must.NoError(t, err)
-	for n := range 6 { // the same text returns again and again
+	for n := range 6 { // the same document text is written repeatedly
 		revision, err = e.SetFailureDomain(ctx, "n1", n%2 == 0)
 		must.NoError(t, err)
 	}
 	must.Len(t, 4, server.Keys())                      // the head, the manifest and two documents
-	again, err := e.SetFailureDomain(ctx, "n1", false) // reads it all, and changes nothing
+	again, err := e.SetFailureDomain(ctx, "n1", false) // reads all content and changes nothing
 	must.NoError(t, err)
 	must.Eq(t, revision, again)
 }
 
-// hookedDeleter runs a hook before its first deletion.
+// hookedDeleter is a store that calls before, once, ahead of its first deletion.
 type hookedDeleter struct {
 	*kvstore.Client
 	before func()
@@ -111,6 +111,6 @@
 	_, err = config.NewEditor(config.EditorOptions{Store: late}).SetFailureDomain(ctx, "n1", true)
 	must.NoError(t, err)
 	again, err := other.SetFailureDomain(ctx, "n1", false)
-	must.NoError(t, err) // every document is still there
+	must.NoError(t, err) // every document can still be read
 	must.Eq(t, 3, again)
 }
--- a/config/examples_test.go
+++ b/config/examples_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// A partner whose terms differ would be treated differently.
+// All partners of the example consorcio must get the same treatment, so their teams
+// and guarantees must be equal.
 func TestExamples_ConsorcioPartnersHaveTheSameTerms(t *testing.T) {
 	docs, err := LoadDocuments("../examples/consorcio/organisations.hujson")
 	must.NoError(t, err)
--- a/config/fields.go
+++ b/config/fields.go
@@ -5,7 +5,7 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// Limits of documents.
+// Limits of values in documents.
 const (
 	maxAcceleratorsPerTask = 64
 	maxGuaranteeCount      = 1000
@@ -103,10 +103,12 @@
 	schema.Field{Name: "out", Type: schema.Bool, Doc: "taken out of service: nothing starts here; absent: stays as it is, a new one is in"},
 )
 
-// unknownKindFields reports a missing or unknown kind.
+// unknownKindFields describes a document whose kind is missing or unknown, so that
+// the check reports the kind.
 var unknownKindFields = objectField(kindField())
 
-// fieldsOf describes a kind of document; known is false for no such kind.
+// fieldsOf returns the fields of a kind of document; known is false if there is no
+// such kind.
 func fieldsOf(kind Kind) (fields *schema.Field, known bool) {
 	switch kind {
 	case KindOrganisation:
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -20,20 +20,21 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// fleet is some entry hosts' configuration over one stand-in store.
+// fleet is a group of entry hosts that distribute the configuration of one stand-in
+// store.
 type fleet struct {
 	t     *testing.T
 	store *kv.Server
 	url   string
-	// schedulers says that every member is a scheduler, so reads by itself. It is
-	// set before members start.
+	// schedulers makes every member a scheduler, which reads the store itself. It
+	// is set before members start.
 	schedulers bool
 
 	mu    sync.Mutex // guards hosts against restart
 	hosts []*member
 }
 
-// member is one entry host.
+// member is one entry host of a fleet.
 type member struct {
 	*config.Distributor
 	fleet  *fleet
@@ -108,7 +109,7 @@
 	}
 }
 
-// restart replaces a member by a process that knows nothing.
+// restart replaces a member by one that has read no configuration.
 func (f *fleet) restart(i int) *member {
 	old := f.hosts[i]
 	old.shutDown()
--- a/config/linearizability_test.go
+++ b/config/linearizability_test.go
@@ -19,11 +19,11 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// editInput is one operator's edit: of a failure domain on top of whatever is
-// in force, or of documents under an expected revision.
+// editInput is one operator's edit: of a failure domain whatever revision is in
+// force, or of documents at an expected revision.
 type editInput struct {
 	apply    bool
-	expected uint64 // of apply
+	expected uint64 // revision that apply expects
 	domain   int
 	out      bool
 }
@@ -33,7 +33,7 @@
 	kind     apierr.Kind // empty: accepted
 }
 
-// modelState is the configuration as the model sees it.
+// modelState is the state of the sequential model of the configuration.
 type modelState struct {
 	revision uint64
 	out      [2]bool
@@ -50,7 +50,7 @@
 	return s
 }
 
-// allowedStates lists the states that an edit's answer allows.
+// allowedStates returns the states that are possible after an edit with this result.
 func allowedStates(s modelState, in editInput, out editOutput) []any {
 	switch out.kind {
 	case "":
@@ -65,10 +65,10 @@
 		return []any{s, s.afterEdit(in)}
 	case apierr.Conflict:
 		if in.apply && in.expected == s.revision {
-			return nil // refused although nobody was first
+			return nil // conflict although no other edit was accepted first
 		}
 		return []any{s}
-	case apierr.Unavailable: // says that nothing was changed
+	case apierr.Unavailable: // means that nothing was changed
 		return []any{s}
 	}
 	return nil
@@ -100,7 +100,7 @@
 		out = editOutput{kind: apierr.KindOf(err)}
 	}
 	if out.kind == apierr.OutcomeUnknown {
-		ended = math.MaxInt64 // it may yet take effect
+		ended = math.MaxInt64 // the edit may still take effect
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	return out
 }
 
-// runOperator makes random edits through its own entry host.
+// runOperator makes random edits through one editor and records them.
 func runOperator(r *recorder, client int, e *config.Editor, random *rand.Rand, edits int) {
 	known := uint64(1)
 	for n := range edits {
@@ -142,7 +142,7 @@
 		case 3:
 			f.Delay, f.LoseAnswers = 50*time.Millisecond, -1
 		case 4:
-			f.Delay = 1200 * time.Millisecond // beyond the deadline: writes land late
+			f.Delay = 1200 * time.Millisecond // longer than the call timeout: writes are applied late
 		}
 		store.SetFaults(f)
 		select {
@@ -165,7 +165,7 @@
 	server := httptest.NewServer(store)
 	defer server.Close()
 	newEditor := func(client int) *config.Editor {
-		var store kvstore.Store = kvstore.NewClient(server.URL) // leaves lost answers to the editor
+		var store kvstore.Store = kvstore.NewClient(server.URL) // does not resolve lost answers, so the editor has to
 		if client%2 == 0 {
 			store = kvstore.New(kvstore.Options{Base: server.URL, Rate: 1000, Burst: 1000})
 		}
@@ -187,7 +187,7 @@
 	operators.Wait()
 	close(stop)
 	faults.Wait()
-	_, err = newEditor(0).SetFailureDomain(context.Background(), "n0", true) // finds every document
+	_, err = newEditor(0).SetFailureDomain(context.Background(), "n0", true) // reads every document
 	must.NoError(t, err)
 	outcomes := map[apierr.Kind]int{}
 	for _, op := range r.history {
--- a/config/load.go
+++ b/config/load.go
@@ -8,12 +8,12 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-// documentSuffixes are the file names read from a directory.
+// documentSuffixes are the suffixes of the files read from a directory.
 var documentSuffixes = []string{".hujson", ".json"}
 
-// LoadDocuments reads the documents of files, and of all .hujson and .json
-// files of directories, in order of name. The error is an *apierr.Error that
-// carries the mistakes of every file.
+// LoadDocuments reads the documents in files and in all .hujson and .json files of
+// directories, in order of file name. The error is an *apierr.Error with the mistakes
+// of every file.
 func LoadDocuments(paths ...string) ([]Document, error) {
 	files, mistakes := documentFiles(paths)
 	var docs []Document
@@ -38,10 +38,12 @@
 	return ParseDocuments(file, data)
 }
 
+// documentFiles returns the files to read for paths, and a mistake for each directory
+// without documents.
 func documentFiles(paths []string) (files []string, mistakes []*apierr.Error) {
 	for _, path := range paths {
 		entries, err := os.ReadDir(path)
-		if err != nil { // not a directory: a file, or unreadable, which reading it tells
+		if err != nil { // not a directory: a file, or unreadable, which loadFile reports
 			files = append(files, path)
 			continue
 		}
--- a/config/parse.go
+++ b/config/parse.go
@@ -12,17 +12,17 @@
 	"github.com/cyclamentray/cyclamentray/internal/schema"
 )
 
-// Document is one operators' document: a kind and the value of that kind.
-// Its JSON is the value's fields beside a field "kind".
+// Document is one document of the operators: a kind, and the value of that kind. Its
+// JSON has the value's fields and a field "kind".
 type Document struct {
 	Kind          Kind
 	Organisation  *Organisation
 	Service       *Service
 	FailureDomain *FailureDomain
 
-	outOmitted bool // a failure domain's document that leaves its field "out" as it is
+	outOmitted bool // the document is of a failure domain and omits the field "out"
 
-	file  string         // where it was read from, for mistakes
+	file  string         // file that it was read from, for messages
 	path  string         // path in that file, such as "[3]"
 	lines map[string]int // lines of its fields in that file
 }
@@ -43,7 +43,7 @@
 // ID returns the kind and name as "kind/name".
 func (d Document) ID() string { return string(d.Kind) + "/" + d.Name() }
 
-// MarshalJSON writes the value's fields beside "kind".
+// MarshalJSON implements json.Marshaler.
 func (d Document) MarshalJSON() ([]byte, error) {
 	switch d.Kind {
 	case KindOrganisation:
@@ -60,13 +60,13 @@
 		return json.Marshal(struct {
 			Kind Kind `json:"kind"`
 			*FailureDomain
-			Out *bool `json:"out,omitempty"` // in place of the field beneath
+			Out *bool `json:"out,omitempty"` // shadows FailureDomain.Out
 		}{d.Kind, d.FailureDomain, d.outField()})
 	}
 	return nil, errors.Newf("document of unknown kind %q", d.Kind)
 }
 
-// outField returns nil when the document leaves the failure domain's state as it is.
+// outField returns the failure domain's field "out", or nil if the document omits it.
 func (d Document) outField() *bool {
 	if d.outOmitted {
 		return nil
@@ -74,8 +74,8 @@
 	return &d.FailureDomain.Out
 }
 
-// UnmarshalJSON reads a document that was checked before. Input from people
-// goes through ParseDocuments.
+// UnmarshalJSON implements json.Unmarshaler for documents that were checked before.
+// Unchecked input is read by ParseDocuments.
 func (d *Document) UnmarshalJSON(data []byte) error {
 	var head struct {
 		Kind Kind  `json:"kind"`
@@ -108,9 +108,9 @@
 	return nil, errors.Newf("document of unknown kind %q", d.Kind)
 }
 
-// ParseDocuments reads JSON with comments: one document, or a list of them.
-// The error is an *apierr.Error that carries every mistake found; name is the
-// file's name in it. Mistakes between documents are CheckDocuments' duty.
+// ParseDocuments reads one document, or a list of them, from JSON with comments. name
+// is the file's name in errors. The error is an *apierr.Error with every mistake
+// found. Mistakes between documents are found by CheckDocuments.
 func ParseDocuments(name string, data []byte) ([]Document, error) {
 	src, bad := schema.Read(name, data)
 	if bad != nil {
@@ -133,12 +133,14 @@
 	return p.documents, nil
 }
 
+// parser collects the documents and mistakes of one ParseDocuments call.
 type parser struct {
 	src       *schema.Source
 	documents []Document
 	mistakes  []*apierr.Error
 }
 
+// parseDocument checks the document at path and adds it or its mistakes to p.
 func (p *parser) parseDocument(v *hujson.Value, path string) {
 	fields, known := fieldsOf(kindOf(v))
 	result := p.src.Check(v, fields, path)
@@ -158,8 +160,8 @@
 	p.documents = append(p.documents, d)
 }
 
-// dropUnknownFields leaves out mistakes about the other fields of a document whose kind
-// is not known: without a kind nothing can be said about them.
+// dropUnknownFields removes mistakes about unknown fields. For a document of unknown
+// kind every other field is reported as unknown, which means nothing.
 func dropUnknownFields(mistakes []*apierr.Error) []*apierr.Error {
 	var out []*apierr.Error
 	for _, m := range mistakes {
@@ -170,7 +172,7 @@
 	return out
 }
 
-// kindOf returns the document's kind, or "" when it states none.
+// kindOf returns the document's kind, or "" if it has none.
 func kindOf(v *hujson.Value) Kind {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
--- a/config/relay.go
+++ b/config/relay.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// relayPollWait is how long a relay keeps a question open while nothing changes.
+	// relayPollWait is the time for which a poll of the relay waits for a change.
 	relayPollWait   = time.Second
-	maxLatestWait   = 5 * time.Second
-	peerAnswerGrace = 500 * time.Millisecond
-	// relayRetryDelay is how long a relay that failed is left alone.
+	maxLatestWait   = 5 * time.Second        // bounds LatestArgs.Wait
+	peerAnswerGrace = 500 * time.Millisecond // time for a peer's answer beyond the wait
+	// relayRetryDelay is the time for which a relay that failed is not polled.
 	relayRetryDelay = 3 * time.Second
 )
 
-// LatestArgs asks a peer for its newest edition.
+// LatestArgs are the arguments of Config.Latest, which asks a peer for its newest
+// configuration.
 type LatestArgs struct {
-	Have uint64        // revision of the asking host
-	Wait time.Duration // longest wait for a newer one
+	Have uint64        // revision of the calling host
+	Wait time.Duration // longest wait for a newer revision
 
 	ctx context.Context
 }
@@ -27,35 +28,39 @@
 // TakeContext implements peer.ContextTaker.
 func (a *LatestArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
 
-// LatestReply tells a peer's newest edition and when the platform confirmed it.
+// LatestReply is a peer's newest configuration and when the platform confirmed it.
 type LatestReply struct {
 	Revision uint64
-	// Confirmed is when the platform was asked, counted from the arrival of this
-	// question; negative when that was earlier. Since the question arrived after
-	// it was sent, the asking host may count from its sending.
+	// Confirmed is the time of the peer's last confirmation relative to the arrival
+	// of this request; negative if earlier. The calling host adds it to the time at
+	// which it sent the request, which is safe because the request arrived later.
 	Confirmed time.Duration
-	Known     bool   // the platform has ever confirmed it
-	Delta     *Delta // nil: the asking host has this revision already
+	Known     bool   // whether the platform has ever confirmed the configuration
+	Delta     *Delta // nil: the calling host has this revision already
 }
 
-// RegisterPeer publishes the slice's net/rpc service.
+// RegisterPeer registers the net/rpc service through which peers fetch the
+// configuration.
 func (d *Distributor) RegisterPeer(s *peer.Server) error {
-	return s.Register("Config", &peerService{d: d})
+	return s.Register("Config", &peerService{distributor: d})
 }
 
-// peerService answers peers.
-type peerService struct{ d *Distributor }
+// peerService is the net/rpc service "Config".
+type peerService struct{ distributor *Distributor }
 
-// Latest answers with the newest edition, as a change of the asking host's.
+// Latest returns the newest configuration as a delta from the caller's revision. It
+// waits up to args.Wait for one that is newer.
 func (s *peerService) Latest(args LatestArgs, reply *LatestReply) error {
-	arrived := s.d.opts.Now()
+	arrived := s.distributor.opts.Now()
 	if args.Wait > 0 {
-		s.d.awaitNewer(args.ctx, args.Have, min(args.Wait, maxLatestWait))
+		s.distributor.awaitNewer(args.ctx, args.Have, min(args.Wait, maxLatestWait))
 	}
-	s.d.fillReply(args.Have, arrived, reply)
+	s.distributor.fillReply(args.Have, arrived, reply)
 	return nil
 }
 
+// awaitNewer waits until a revision later than have is in force, or until wait or
+// ctx ends.
 func (d *Distributor) awaitNewer(ctx context.Context, have uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -76,6 +81,8 @@
 	}
 }
 
+// fillReply sets reply to the current configuration, for a caller at revision have
+// whose request arrived at arrived.
 func (d *Distributor) fillReply(have uint64, arrived time.Time, reply *LatestReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,8 +96,8 @@
 	}
 }
 
-// manifestAt returns the kept manifest of a revision, or the empty one. The
-// caller holds mu.
+// manifestAt returns the manifest of a past revision, or the empty manifest if it
+// is no longer kept. The caller holds mu.
 func (d *Distributor) manifestAt(revision uint64) manifest {
 	for _, m := range d.pastManifests {
 		if m.Revision == revision {
@@ -100,8 +107,9 @@
 	return manifest{}
 }
 
-// pollRelay asks the relay once, and turns to the platform for a while when the
-// relay does not answer or has itself not heard the platform lately.
+// pollRelay polls the relay once. If the relay does not answer, or the last
+// confirmation is older than staleAfter even so, this host reads the platform
+// itself for relayRetryDelay.
 func (d *Distributor) pollRelay(ctx context.Context, address string) {
 	err := d.fetchFromPeer(ctx, address, relayPollWait)
 	d.mu.Lock()
@@ -113,7 +121,8 @@
 	}
 }
 
-// fetchFromPeer takes over a peer's newest edition and its freshness.
+// fetchFromPeer fetches a peer's newest configuration and confirmation time, and
+// adopts them.
 func (d *Distributor) fetchFromPeer(ctx context.Context, address string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerAnswerGrace)
 	defer cancel()
@@ -127,13 +136,14 @@
 	return d.adoptReply(known, sent, reply)
 }
 
-// adoptReply adopts a peer's answer to a question sent at sent, when this host had known.
+// adoptReply adopts a peer's reply to a request that was sent at sent with the
+// revision of known.
 func (d *Distributor) adoptReply(known *configuration, sent time.Time, reply LatestReply) error {
 	next := known
 	if reply.Delta != nil {
 		var err error
 		if next, err = known.applyDelta(reply.Delta); err != nil {
-			d.opts.Logger.Warn("peer's revision not taken", "err", err)
+			d.opts.Logger.Warn("could not apply a peer's revision", "err", err)
 			return err
 		}
 	}
--- a/config/repository.go
+++ b/config/repository.go
@@ -15,21 +15,24 @@
 const (
 	headKey       = "cyclamentray/config/manifest"
 	contentPrefix = "cyclamentray/config/content/"
-	// maxRecentEdits is how many accepted edits the head remembers, for writers
-	// whose answer was lost.
+	// maxRecentEdits is the number of accepted edits that the head lists, so that an
+	// editor whose answer was lost can see whether its edit was accepted.
 	maxRecentEdits = 8
-	// maxParallelCalls bounds the reads in flight while a revision is fetched.
+	// maxParallelCalls bounds the calls in flight while a revision is read or
+	// written.
 	maxParallelCalls = 8
 )
 
-// head is the one key that is ever swapped. It is small, since the freshness of
-// a snapshot is confirmed by reading it.
+// head is the value of the one key that changes with every edit; other keys are only
+// created and deleted. It is small, since hosts confirm the freshness of their
+// snapshot by reading it.
 type head struct {
 	Revision uint64   `json:"revision"`
 	Manifest string   `json:"manifest"` // hash of the manifest
 	Edits    []string `json:"edits"`    // nonces of the last accepted edits, newest last
 }
 
+// includesEdit reports whether the head lists the edit with a nonce.
 func (h head) includesEdit(nonce string) bool {
 	for _, n := range h.Edits {
 		if n == nonce {
@@ -42,10 +45,10 @@
 // repository reads and writes configuration in the platform's store.
 type repository struct{ store kvstore.Store }
 
-// readHead reads the newest readHead and its entry's version; both are zero before the
-// first edit.
-func (a repository) readHead(ctx context.Context) (head, uint64, error) {
-	entry, err := a.store.Get(ctx, headKey)
+// readHead reads the head and its entry's version; both are zero before the first
+// edit.
+func (r repository) readHead(ctx context.Context) (head, uint64, error) {
+	entry, err := r.store.Get(ctx, headKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return head{}, 0, nil
 	}
@@ -59,18 +62,19 @@
 	return h, entry.Version, nil
 }
 
-func (a repository) swapHead(ctx context.Context, h head, version uint64) error {
+// swapHead replaces the head if its entry is at version.
+func (r repository) swapHead(ctx context.Context, h head, version uint64) error {
 	value, err := json.Marshal(h)
 	if err != nil {
 		return err
 	}
-	_, err = a.store.CompareAndSwap(ctx, headKey, value, version)
+	_, err = r.store.CompareAndSwap(ctx, headKey, value, version)
 	return err
 }
 
-// readContent reads readContent by its reference.
-func (a repository) readContent(ctx context.Context, reference string) ([]byte, error) {
-	entry, err := a.store.Get(ctx, contentPrefix+reference)
+// readContent reads content by its reference and verifies its hash.
+func (r repository) readContent(ctx context.Context, reference string) ([]byte, error) {
+	entry, err := r.store.Get(ctx, contentPrefix+reference)
 	if err != nil {
 		return nil, errors.Wrapf(err, "reading configuration content %s", reference)
 	}
@@ -80,15 +84,16 @@
 	return entry.Value, nil
 }
 
-// writeContent writes content under its reference. What is there already is the same.
-func (a repository) writeContent(ctx context.Context, reference string, content []byte) error {
+// writeContent writes content under its reference. If the key exists, it already
+// holds the same content.
+func (r repository) writeContent(ctx context.Context, reference string, content []byte) error {
 	key := contentPrefix + reference
-	_, err := a.store.CompareAndSwap(ctx, key, content, 0)
+	_, err := r.store.CompareAndSwap(ctx, key, content, 0)
 	if err == nil || errors.Is(err, kvstore.ErrConflict) {
 		return nil
 	}
 	if errors.Is(err, kvstore.ErrAmbiguous) {
-		entry, readErr := a.store.Get(ctx, key)
+		entry, readErr := r.store.Get(ctx, key)
 		if readErr == nil && bytes.Equal(entry.Value, content) {
 			return nil
 		}
@@ -96,15 +101,15 @@
 	return errors.Wrap(err, "writing configuration content")
 }
 
-// load reads the edition that h names. It reads only what known lacks.
-func (a repository) load(ctx context.Context, h head, known *configuration) (*configuration, error) {
+// load reads the revision that h names. It reads only the content that known lacks.
+func (r repository) load(ctx context.Context, h head, known *configuration) (*configuration, error) {
 	if h.Revision == 0 {
 		return emptyConfiguration(), nil
 	}
 	if h.Manifest == known.hash {
 		return known, nil
 	}
-	raw, err := a.readContent(ctx, h.Manifest)
+	raw, err := r.readContent(ctx, h.Manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -112,14 +117,15 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, errors.Wrap(err, "configuration manifest is damaged")
 	}
-	content, err := a.readDocuments(ctx, m, known)
+	content, err := r.readDocuments(ctx, m, known)
 	if err != nil {
 		return nil, err
 	}
 	return assemble(m, content)
 }
 
-func (a repository) readDocuments(ctx context.Context, m manifest, known *configuration) (map[string][]byte, error) {
+// readDocuments reads the documents that m refers to, by hash, except those in known.
+func (r repository) readDocuments(ctx context.Context, m manifest, known *configuration) (map[string][]byte, error) {
 	var mu sync.Mutex
 	content := make(map[string][]byte, len(m.Documents))
 	g, ctx := errgroup.WithContext(ctx)
@@ -133,7 +139,7 @@
 			continue
 		}
 		g.Go(func() error {
-			body, err := a.readContent(ctx, reference)
+			body, err := r.readContent(ctx, reference)
 			mu.Lock()
 			defer mu.Unlock()
 			content[hash] = body
@@ -143,13 +149,13 @@
 	return content, g.Wait()
 }
 
-// save writes the documents and the manifest of next that base lacks.
-func (a repository) save(ctx context.Context, next, base *configuration) error {
+// save writes the manifest of next and those of its documents that base lacks.
+func (r repository) save(ctx context.Context, next, base *configuration) error {
 	g, groupCtx := errgroup.WithContext(ctx)
 	g.SetLimit(maxParallelCalls)
 	for id, reference := range next.manifest.Documents {
 		if base.manifest.Documents[id] != reference {
-			g.Go(func() error { return a.writeContent(groupCtx, reference, next.content[referenceHash(reference)]) })
+			g.Go(func() error { return r.writeContent(groupCtx, reference, next.content[referenceHash(reference)]) })
 		}
 	}
 	if err := g.Wait(); err != nil {
@@ -159,20 +165,20 @@
 	if err != nil {
 		return err
 	}
-	return a.writeContent(ctx, next.hash, raw)
+	return r.writeContent(ctx, next.hash, raw)
 }
 
-// deleteReplaced deletes what next has put an end to. A reader that is still at base
-// finds content missing, takes nothing, and reads the head again. A store that
-// cannot delete keeps it all.
-func (a repository) deleteReplaced(ctx context.Context, next, base *configuration) {
-	store, ok := a.store.(kvstore.Deleter)
+// deleteReplaced deletes the content of base that next no longer refers to. A reader
+// that is still loading base finds content missing, adopts nothing and reads the head
+// again. If the store cannot delete, the content stays.
+func (r repository) deleteReplaced(ctx context.Context, next, base *configuration) {
+	store, ok := r.store.(kvstore.Deleter)
 	if !ok {
 		return
 	}
 	for _, reference := range append(next.droppedReferences(base), base.hash) {
 		if reference != "" {
-			_ = store.Delete(ctx, contentPrefix+reference) // at worst it stays
+			_ = store.Delete(ctx, contentPrefix+reference) // on failure the content stays
 		}
 	}
 }
--- a/kvstore/fallback_test.go
+++ b/kvstore/fallback_test.go
@@ -13,7 +13,8 @@
 	"github.com/cyclamentray/cyclamentray/standin/keyspace"
 )
 
-// fakePeer carries calls to a store, as a peer does.
+// fakePeer makes calls to a store on behalf of the caller, as a peer does. While
+// down is set, it gives no answer.
 type fakePeer struct {
 	service kvstore.KeyspaceService
 	down    atomic.Bool
@@ -28,8 +29,8 @@
 	return r.service.Do(args.(*kvstore.KeyspaceArgs), reply.(*kvstore.KeyspaceReply))
 }
 
-// newFallback is one store that a host reaches by itself, with faults, and through a
-// peer, without.
+// newFallback returns a Fallback over two stores: one that the host calls directly,
+// with the faults that fault selects, and one behind a peer, without faults.
 func newFallback(fault *atomic.Int64) (*kvstore.Fallback, *fakePeer, *keyspace.Store) {
 	var shared *keyspace.Store
 	direct := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
@@ -49,9 +50,10 @@
 	return ctx
 }
 
-// A try without an answer may have been done. That a later try certainly was
-// not done must not make the whole look like "not done": the caller was told
-// that its job was not accepted, and the job ran.
+// Guards against a commit reported as not done that was in fact done. The first
+// attempt may have committed although its answer was lost; the second is refused.
+// With the error of the second alone, a caller was told that its job was not
+// accepted, and the job ran.
 func TestFallbackReportsAmbiguousWhenAnEarlierAttemptMayHaveCommitted(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Lost))
@@ -63,8 +65,8 @@
 	must.False(t, errors.Is(err, kvstore.ErrUnavailable))
 }
 
-// A host that the store turns away goes on through a peer, and by itself again
-// once the store answers it.
+// A host that the store refuses calls it through a peer, and directly again once
+// the store answers.
 func TestFallbackUsesPeerUntilTheStoreAnswers(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
@@ -78,16 +80,16 @@
 	fault.Store(int64(keyspace.Served))
 	for deadline := time.Now().Add(5 * time.Second); ; {
 		before := r.calls.Load()
-		_, _ = f.Get(shortContext(t), "k") // found or not, by which way is what counts
+		_, _ = f.Get(shortContext(t), "k") // only the path of the call matters, not its result
 		if r.calls.Load() == before {
 			return
 		}
-		must.True(t, time.Now().Before(deadline), must.Sprint("still asks the peer"))
+		must.True(t, time.Now().Before(deadline), must.Sprint("calls still go through the peer"))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Without store and peers nothing is done, and the failure says so.
+// With store and peer down, a read fails as unavailable, and a commit as ambiguous.
 func TestFallbackFailsWhenStoreAndPeersAreDown(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
@@ -96,11 +98,11 @@
 	_, err := f.Get(shortContext(t), "k")
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
 	_, err = f.Commit(shortContext(t), createKey("k"))
-	must.ErrorIs(t, err, kvstore.ErrAmbiguous) // the peer may have made the call
+	must.ErrorIs(t, err, kvstore.ErrAmbiguous) // the peer may have made the call before its connection was reset
 }
 
-// A follower sees every change once, across a history that is dropped and an
-// outage, and tells when it is not current.
+// A follower sees every change although the store compacts its history and refuses
+// reads for a while, and reports when its copy is not current.
 func TestFollowerSeesEveryChangeAcrossCompactionAndOutage(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(c keyspace.Call) keyspace.Outcome {
@@ -165,8 +167,8 @@
 	must.Eq(t, 2, regained.Load())
 }
 
-// That the store is back is known at once, although nothing changes: until then
-// callers are refused.
+// The follower must report the store's recovery at once, even if no key changes,
+// because callers are refused until it does.
 func TestFollowerReportsRecoveryWithoutWaitingForAChange(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
@@ -190,7 +192,7 @@
 	select {
 	case <-regained:
 	case <-time.After(2 * time.Second): // well within a watch's wait
-		t.Error("the store has been back for two seconds")
+		t.Error("recovery not reported within 2 s")
 	}
 	cancel()
 	<-ended
--- a/kvstore/guard_test.go
+++ b/kvstore/guard_test.go
@@ -43,16 +43,16 @@
 }
 
 func TestDelayedSwapIsAppliedOnce(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
-	stand.SetFaults(kv.Faults{Delay: 1500 * time.Millisecond})
-	time.AfterFunc(500*time.Millisecond, func() { stand.SetFaults(kv.Faults{}) })
+	store.SetFaults(kv.Faults{Delay: 1500 * time.Millisecond})
+	time.AfterFunc(500*time.Millisecond, func() { store.SetFaults(kv.Faults{}) })
 
-	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0) // times out, is read back and sent again
+	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0) // times out, is read back and retried
 	must.NoError(t, err)
 	second, err := g.CompareAndSwap(ctx, "a", []byte("2"), first.Version)
 	must.NoError(t, err)
-	time.Sleep(time.Second) // the first try arrives now
+	time.Sleep(time.Second) // the first attempt reaches the store now
 	got, err := g.Get(ctx, "a")
 	must.NoError(t, err)
 	must.Eq(t, second.Version, got.Version)
@@ -60,9 +60,9 @@
 }
 
 func TestGuardLimitsCallsWhilePlatformIsDown(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{Rate: 1e6, Burst: 1e6})
+	store, g := newGuard(t, kvstore.Options{Rate: 1e6, Burst: 1e6})
 	ctx := context.Background()
-	stand.SetFaults(kv.Faults{Down: true})
+	store.SetFaults(kv.Faults{Down: true})
 	deadline := time.Now().Add(2 * time.Second)
 	var callers sync.WaitGroup
 	for range 20 {
@@ -76,8 +76,8 @@
 	}
 	callers.Wait()
 	must.True(t, g.Down())
-	must.Less(t, 40, stand.Calls()["refused"]) // the first round, then one for each back-off
-	stand.SetFaults(kv.Faults{})
+	must.Less(t, 40, store.Calls()["refused"]) // one from each caller, then one per back-off
+	store.SetFaults(kv.Faults{})
 	must.Wait(t, waitFor(10*time.Second, func() bool {
 		_, err := g.Get(kvstore.Urgent(ctx), "a")
 		return err == kvstore.ErrNotFound && !g.Down()
@@ -85,8 +85,8 @@
 }
 
 func TestUnresponsivePlatformIsDetectedBeforeAnUrgentCallEnds(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
-	stand.SetFaults(kv.Faults{Delay: 4 * time.Second})
+	store, g := newGuard(t, kvstore.Options{})
+	store.SetFaults(kv.Faults{Delay: 4 * time.Second})
 	returned := make(chan struct{})
 	go func() {
 		defer close(returned)
@@ -95,7 +95,7 @@
 	must.Wait(t, waitFor(5*time.Second, g.Down))
 	select {
 	case <-returned:
-		t.Fatal("felt only when the call ended")
+		t.Fatal("platform reported as down only after the call had ended")
 	default:
 	}
 	began := time.Now()
@@ -149,7 +149,7 @@
 
 func TestCancelledWatchDoesNotMarkThePlatformDown(t *testing.T) {
 	_, g := newGuard(t, kvstore.Options{})
-	ctx, cancel := context.WithCancel(context.Background()) // a deadline would end it in time
+	ctx, cancel := context.WithCancel(context.Background()) // without a deadline, which the watch would respect by ending earlier
 	time.AfterFunc(1200*time.Millisecond, cancel)
 	_, err := g.Watch(ctx, "a", 0)
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
@@ -157,7 +157,7 @@
 }
 
 func TestWatchReturnsChangesOrTheCachedEntry(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0)
 	must.NoError(t, err)
@@ -176,5 +176,5 @@
 	next, err := g.Watch(ctx, "a", first.Version)
 	must.NoError(t, err)
 	must.Eq(t, "2", string(next.Value))
-	must.Eq(t, 1, stand.Calls()["get"]) // for the change alone
+	must.Eq(t, 1, store.Calls()["get"]) // only for the change
 }
--- a/kvstore/resolve_test.go
+++ b/kvstore/resolve_test.go
@@ -7,11 +7,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// scriptedWriter loses the answer of its first swap. The rest is the case's.
+// scriptedWriter loses the answer of its first swap; the test case sets the rest.
 type scriptedWriter struct {
 	swaps    int
-	retryErr error // of the swaps after the first
-	found    Entry // what reading back shows
+	retryErr error // result of the swaps after the first
+	found    Entry // result of reading back
 	readErr  error
 }
 
@@ -36,11 +36,11 @@
 		want  error
 		swaps int
 	}{
-		{"our nonce is there", scriptedWriter{found: Entry{Version: 8, Nonce: 7}}, nil, 1},
-		{"nothing happened yet, so it is sent again", scriptedWriter{found: Entry{Version: 3}}, nil, 2},
-		{"another write came after, perhaps upon ours", scriptedWriter{found: Entry{Version: 8, Nonce: 5}}, ErrAmbiguous, 1},
-		{"the store stays away", scriptedWriter{readErr: ErrUnavailable}, ErrAmbiguous, 1},
-		{"the store takes no write any more", scriptedWriter{found: Entry{Version: 3}, retryErr: ErrUnavailable}, ErrAmbiguous, 0},
+		{"applied: the key has our nonce", scriptedWriter{found: Entry{Version: 8, Nonce: 7}}, nil, 1},
+		{"pending: the key is unchanged, so the swap is sent again", scriptedWriter{found: Entry{Version: 3}}, nil, 2},
+		{"superseded: another write followed, perhaps after ours", scriptedWriter{found: Entry{Version: 8, Nonce: 5}}, ErrAmbiguous, 1},
+		{"reading back fails", scriptedWriter{readErr: ErrUnavailable}, ErrAmbiguous, 1},
+		{"retries fail", scriptedWriter{found: Entry{Version: 3}, retryErr: ErrUnavailable}, ErrAmbiguous, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
