--- a/config/distributor_test.go
+++ b/config/distributor_test.go
@@ -42,8 +42,8 @@
 func TestRevisionNeverReverts(t *testing.T) {
 	cases := map[string]kv.Faults{
 		"store returns stale reads": {StaleReads: true},
-		"store is down":                    {Down: true},
-		"store is down and slow":           {Down: true, Delay: 300 * time.Millisecond},
+		"store is down":             {Down: true},
+		"store is down and slow":    {Down: true, Delay: 300 * time.Millisecond},
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
