--- a/config/distributor.go
+++ b/config/distributor.go
@@ -41,7 +41,7 @@
 	Store   kvstore.Store
 	Peers   peer.Caller
 	Members membership.Source
-	Seeds   []string    // peer addresses to ask before members are known
+	Seeds   []string    // addresses of peers to fetch from before members are known
 	Direct  func() bool // reports whether this host must read the platform itself, as a scheduler must; nil: no
 	Now     func() time.Time
 	Logger  *log.Logger
@@ -76,7 +76,7 @@
 	fetchingRevision  uint64        // revision being fetched; 0: none
 	relayRetryAt      time.Time     // until then the platform is read instead of polling the relay
 	relayPollInFlight bool          // whether a poll of the relay is in flight
-	lastPeerFetch     time.Time     // when a peer was last asked because of staleness
+	lastPeerFetch     time.Time     // when a random peer was last asked because of staleness
 	inFlight          sync.WaitGroup
 }
 
--- a/config/fields.go
+++ b/config/fields.go
@@ -31,8 +31,8 @@
 	return schema.Field{Name: name, Type: schema.List, Min: 0, Max: maxElements, Doc: doc, Elem: &elem}
 }
 
-func integerField(name, unit string, byDefault any, lowest, highest int, doc string) schema.Field {
-	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: byDefault, Required: byDefault == nil, Min: lowest, Max: highest, Doc: doc}
+func integerField(name, unit string, defaultValue any, lowest, highest int, doc string) schema.Field {
+	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: defaultValue, Required: defaultValue == nil, Min: lowest, Max: highest, Doc: doc}
 }
 
 func boolField(name, doc string) schema.Field {
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	storeWatchWait     = 10 * time.Second // longest wait that a watch asks of the store
+	storeWatchWait     = 10 * time.Second // longest time for which the store is asked to hold a watch open
 	maxReplyBytes      = 4 << 20
 	maxIdleConnections = 8
 )
@@ -36,16 +36,16 @@
 // NewClient returns a client of the platform at any of the base URLs, such as
 // "http://127.0.0.1:8500". After a call that got no answer or a status of 500 or
 // above, later calls use the next URL.
-func NewClient(bases ...string) *Client { return newClient(newTransport(), bases...) }
+func NewClient(baseURLs ...string) *Client { return newClient(newTransport(), baseURLs...) }
 
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 }
 
-func newClient(transport *http.Transport, bases ...string) *Client {
+func newClient(transport *http.Transport, baseURLs ...string) *Client {
 	c := &Client{http: &http.Client{Transport: telemetry.Transport(transport, "platform")}}
-	for _, base := range bases {
-		c.baseURLs = append(c.baseURLs, strings.TrimSuffix(base, "/"))
+	for _, baseURL := range baseURLs {
+		c.baseURLs = append(c.baseURLs, strings.TrimSuffix(baseURL, "/"))
 	}
 	return c
 }
--- a/kvstore/fallback_store.go
+++ b/kvstore/fallback_store.go
@@ -20,7 +20,7 @@
 )
 
 // FallbackStore is a Store that makes its calls through peers while this host
-// cannot reach the platform. The detour does not make answers look fresher than
+// cannot reach the platform. The extra hop does not make answers look fresher than
 // they are, since callers measure their age from before the call was sent.
 // It is safe for concurrent use.
 type FallbackStore struct {
@@ -39,9 +39,9 @@
 var _ Store = (*FallbackStore)(nil)
 var _ HostWatcher = (*FallbackStore)(nil)
 
-// call calls the platform directly, or through peers if it is unavailable to
-// this host. While it is known to be down, call goes to the peers at once, or
-// tries both ways at once for urgent calls that allow it.
+// call calls the platform directly, and through peers if it is unavailable to this
+// host. While it is known to be down, call skips the direct attempt, or hedges
+// urgent calls that allow it.
 func (s *FallbackStore) call(ctx context.Context, args CarryArgs, timeout time.Duration) (reply CarryReply, err error) {
 	addresses := s.addresses()
 	if !s.local.Down() || len(addresses) == 0 {
--- a/kvstore/follower.go
+++ b/kvstore/follower.go
@@ -21,7 +21,7 @@
 	// Pause returns the time between two watches, so that frequent changes of a
 	// prefix are read in batches. Nil: no pause.
 	Pause func() time.Duration
-	// Reset receives the whole content of the prefix; Apply receives later
+	// Reset receives all items under the prefix; Apply receives later
 	// changes in order.
 	Reset func(items []Item)
 	Apply func(events []Event)
