--- a/config/check_test.go
+++ b/config/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-const good = `[
+const validDocuments = `[
   {"kind": "failure-domain", "name": "fd-a", "region": "east"},
   {"kind": "organisation", "name": "pwani", "tokenHashes": ["` + hashA + `"],
    "teams": [{"name": "levy", "quota": 64}],
@@ -35,8 +35,8 @@
 	return docs
 }
 
-func TestCheckDocuments_AcceptsGoodOnes(t *testing.T) {
-	docs := parse(t, good)
+func TestCheckDocuments_AcceptsValidDocuments(t *testing.T) {
+	docs := parse(t, validDocuments)
 	must.NoError(t, CheckDocuments(docs, nil))
 	snap := merge(docs, &Snapshot{})
 	must.NoError(t, CheckSnapshot(snap))
@@ -51,24 +51,24 @@
 		{"duplicate team", `{"name": "levy", "quota": 64}`, `{"name": "levy"}, {"name": "levy"}`, "d:4: [1].teams[1].name: organisation/pwani: team levy appears twice"},
 		{"shared token", hashB, hashA, "d:3: [1].tokenHashes[0]: organisation/pwani: hash is in use by another organisation"},
 		{"unknown failure domain", `"failureDomain": "fd-a"`, `"failureDomain": "fd-z"`, "d:5: [1].guarantees[0].failureDomain: organisation/pwani: unknown failure domain fd-z"},
-		{"too much for a worker", `{"tasks": 2, "acceleratorsPerTask": 8}`, `{"tasks": 9, "acceleratorsPerTask": 8, "adjacency": "worker"}`, "d:5: [1].guarantees[0].shape: organisation/pwani: 72 accelerators on one worker"},
+		{"too many accelerators for a worker", `{"tasks": 2, "acceleratorsPerTask": 8}`, `{"tasks": 9, "acceleratorsPerTask": 8, "adjacency": "worker"}`, "d:5: [1].guarantees[0].shape: organisation/pwani: 72 accelerators on one worker"},
 		{"unknown organisation", `"organisation": "pwani"`, `"organisation": "bahari"`, "d:7: [3].organisation: service/filings: unknown organisation bahari"},
 		{"unknown team", `"team": "levy"`, `"team": "ops"`, "d:7: [3].team: service/filings: organisation pwani has no team ops"},
 		{"beyond the quota", `"tasks": 4`, `"tasks": 16`, "d:8: [3].jobs[0].shape: service/filings: 128 accelerators exceed the quota of team levy, 64"},
-		{"shared with itself", `["ziwa"]`, `["pwani"]`, "d:9: [3].requests.shareWith[0]: service/filings: organisation pwani may call already"},
-		{"shared with nobody", `["ziwa"]`, `["bahari"]`, "d:9: [3].requests.shareWith[0]: service/filings: unknown organisation bahari"},
+		{"shared with its own organisation", `["ziwa"]`, `["pwani"]`, "d:9: [3].requests.shareWith[0]: service/filings: organisation pwani may call already"},
+		{"shared with an unknown organisation", `["ziwa"]`, `["bahari"]`, "d:9: [3].requests.shareWith[0]: service/filings: unknown organisation bahari"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := CheckDocuments(parse(t, strings.Replace(good, c.edit, c.with, 1)), nil)
+			err := CheckDocuments(parse(t, strings.Replace(validDocuments, c.edit, c.with, 1)), nil)
 			must.StrContains(t, err.Error(), c.want)
 			must.NotEq(t, "", apierr.Flatten(err)[0].Remedy)
 		})
 	}
 }
 
-func TestCheckDocuments_MistakesAgainstThoseInForce(t *testing.T) {
-	inForce := merge(parse(t, good), &Snapshot{})
+func TestCheckDocuments_MistakesAgainstDocumentsInForce(t *testing.T) {
+	inForce := merge(parse(t, validDocuments), &Snapshot{})
 	inForce.Retired = map[string]uint64{"levies": 7}
 	cases := []struct{ name, text, want string }{
 		{"retired name", `{"kind": "service", "name": "levies", "organisation": "pwani", "team": "levy"}`, "retired at revision 7"},
@@ -85,8 +85,9 @@
 	}
 }
 
-// Applying a file again must not bring back what operators took out meanwhile.
-func TestSettleOut_DocumentThatDoesNotSayKeepsTheState(t *testing.T) {
+// Applying a file again must not bring back a failure domain that operators took
+// out in the meantime.
+func TestResolveOut_OmittedFieldKeepsStateInForce(t *testing.T) {
 	inForce := &Snapshot{FailureDomains: map[string]FailureDomain{"fd-a": {Name: "fd-a", Region: "east", Out: true}}}
 	cases := []struct {
 		text string
@@ -99,9 +100,9 @@
 	for _, c := range cases {
 		sent, err := json.Marshal(parse(t, c.text)[0])
 		must.NoError(t, err)
-		settled := settleOut(parse(t, string(sent)), inForce)
-		must.Eq(t, c.out, settled[0].FailureDomain.Out, must.Sprint(c.text))
-		stored, err := json.Marshal(settled[0])
+		resolved := resolveOut(parse(t, string(sent)), inForce)
+		must.Eq(t, c.out, resolved[0].FailureDomain.Out, must.Sprint(c.text))
+		stored, err := json.Marshal(resolved[0])
 		must.NoError(t, err)
 		must.StrContains(t, string(stored), `"out":`)
 	}
--- a/config/examples_test.go
+++ b/config/examples_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// A partner whose terms differ would be treated differently.
+// All partners of the example consorcio must get the same treatment, so their teams
+// and guarantees must be equal.
 func TestExamples_ConsorcioPartnersHaveTheSameTerms(t *testing.T) {
 	docs, err := LoadDocuments("../examples/consorcio/organisations.hujson")
 	must.NoError(t, err)
@@ -38,7 +39,7 @@
 	}
 }
 
-func TestDescribe_PageOfFieldsIsCurrent(t *testing.T) {
+func TestDescribe_MatchesDocumentedFields(t *testing.T) {
 	var b strings.Builder
 	must.NoError(t, Describe(&b))
 	golden.CheckFile(t, "../docs/operators/document-fields.txt", strings.TrimSpace(b.String())+"\n")
--- a/kvstore/fallback_test.go
+++ b/kvstore/fallback_test.go
@@ -13,14 +13,15 @@
 	"github.com/cyclamentray/cyclamentray/standin/keyspace"
 )
 
-// relay carries calls to a store, as a peer does.
-type relay struct {
+// fakePeer makes calls to a store on behalf of the caller, as a peer does. While
+// down is set, it gives no answer.
+type fakePeer struct {
 	service kvstore.KeyspaceService
 	down    atomic.Bool
 	calls   atomic.Int64
 }
 
-func (r *relay) Call(_ context.Context, _, _ string, args, reply any) error {
+func (r *fakePeer) Call(_ context.Context, _, _ string, args, reply any) error {
 	r.calls.Add(1)
 	if r.down.Load() {
 		return errors.New("connection reset")
@@ -28,80 +29,81 @@
 	return r.service.Do(args.(*kvstore.KeyspaceArgs), reply.(*kvstore.KeyspaceReply))
 }
 
-// pair is one store that a host reaches by itself, with faults, and through a
-// peer, without.
-func pair(fault *atomic.Int64) (*kvstore.Fallback, *relay, *keyspace.Store) {
-	var whole *keyspace.Store
+// newFallback returns a Fallback over two stores: one that the host calls directly,
+// with the faults that fault selects, and one behind a peer, without faults.
+func newFallback(fault *atomic.Int64) (*kvstore.Fallback, *fakePeer, *keyspace.Store) {
+	var shared *keyspace.Store
 	direct := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
-	whole = keyspace.New(keyspace.Options{})
-	r := &relay{service: kvstore.KeyspaceService{Store: whole}}
+	shared = keyspace.New(keyspace.Options{})
+	r := &fakePeer{service: kvstore.KeyspaceService{Store: shared}}
 	f := &kvstore.Fallback{Direct: direct, Peers: r, Addresses: func() []string { return []string{"peer"} }, ProbeKey: "probe"}
-	return f, r, whole
+	return f, r, shared
 }
 
-func put(key string) kvstore.Txn {
+func createKey(key string) kvstore.Txn {
 	return kvstore.Txn{If: []kvstore.Condition{{Key: key}}, Puts: []kvstore.Put{{Key: key, Value: []byte("v")}}}
 }
 
-func soon(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// A try without an answer may have been done. That a later try certainly was
-// not done must not make the whole look like "not done": the caller was told
-// that its job was not accepted, and the job ran.
-func TestUnknownOutcomeStaysUnknown(t *testing.T) {
+// Guards against a commit reported as not done that was in fact done. The first
+// attempt may have committed although its answer was lost; the second is refused.
+// With the error of the second alone, a caller was told that its job was not
+// accepted, and the job ran.
+func TestFallbackReportsAmbiguousWhenAnEarlierAttemptMayHaveCommitted(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Lost))
-	f, r, _ := pair(&fault)
+	f, r, _ := newFallback(&fault)
 	r.down.Store(false)
 	r.service.Store = keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Refused }})
-	_, err := f.Commit(soon(t), put("k"))
+	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrAmbiguous)
 	must.False(t, errors.Is(err, kvstore.ErrUnavailable))
 }
 
-// A host that the store turns away goes on through a peer, and by itself again
-// once the store answers it.
-func TestPeerCarriesCallsUntilTheStoreAnswers(t *testing.T) {
+// A host that the store refuses calls it through a peer, and directly again once
+// the store answers.
+func TestFallbackUsesPeerUntilTheStoreAnswers(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, whole := pair(&fault)
-	_, err := f.Commit(soon(t), put("k"))
+	f, r, shared := newFallback(&fault)
+	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.NoError(t, err)
-	_, err = whole.Get(soon(t), "k")
+	_, err = shared.Get(shortContext(t), "k")
 	must.NoError(t, err)
-	_, err = f.Commit(soon(t), put("k"))
+	_, err = f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrConflict)
 	fault.Store(int64(keyspace.Served))
-	for limit := time.Now().Add(5 * time.Second); ; {
+	for deadline := time.Now().Add(5 * time.Second); ; {
 		before := r.calls.Load()
-		_, _ = f.Get(soon(t), "k") // found or not, by which way is what counts
+		_, _ = f.Get(shortContext(t), "k") // only the path of the call matters, not its result
 		if r.calls.Load() == before {
 			return
 		}
-		must.True(t, time.Now().Before(limit), must.Sprint("still asks the peer"))
+		must.True(t, time.Now().Before(deadline), must.Sprint("calls still go through the peer"))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Without store and peers nothing is done, and the failure says so.
-func TestNobodyReachesTheStore(t *testing.T) {
+// With store and peer down, a read fails as unavailable, and a commit as ambiguous.
+func TestFallbackFailsWhenStoreAndPeersAreDown(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, _ := pair(&fault)
+	f, r, _ := newFallback(&fault)
 	r.down.Store(true)
-	_, err := f.Get(soon(t), "k")
+	_, err := f.Get(shortContext(t), "k")
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
-	_, err = f.Commit(soon(t), put("k"))
-	must.ErrorIs(t, err, kvstore.ErrAmbiguous) // the peer may have made the call
+	_, err = f.Commit(shortContext(t), createKey("k"))
+	must.ErrorIs(t, err, kvstore.ErrAmbiguous) // the peer may have made the call before its connection was reset
 }
 
-// A follower sees every change once, across a history that is dropped and an
-// outage, and tells when it is not current.
-func TestFollowerCatchesUp(t *testing.T) {
+// A follower sees every change although the store compacts its history and refuses
+// reads for a while, and reports when its copy is not current.
+func TestFollowerSeesEveryChangeAcrossCompactionAndOutage(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(c keyspace.Call) keyspace.Outcome {
 		if c.Write {
@@ -111,7 +113,7 @@
 	}})
 	seen := make(map[string]bool)
 	var n, lost, regained atomic.Int64
-	take := func(key string) {
+	record := func(key string) {
 		seen[key] = true
 		n.Store(int64(len(seen)))
 	}
@@ -119,12 +121,12 @@
 		Store: store, Prefix: "p/", Wait: 50 * time.Millisecond,
 		Reset: func(items []kvstore.Item) {
 			for _, item := range items {
-				take(item.Key)
+				record(item.Key)
 			}
 		},
 		Apply: func(events []kvstore.Event) {
 			for _, e := range events {
-				take(e.Key)
+				record(e.Key)
 			}
 		},
 		Lost:     func(error) { lost.Add(1) },
@@ -137,12 +139,12 @@
 		close(ended)
 	}()
 	commit := func(key string) {
-		_, err := store.Commit(ctx, put(key))
+		_, err := store.Commit(ctx, createKey(key))
 		must.NoError(t, err)
 	}
 	await := func(want int64) {
-		for limit := time.Now().Add(5 * time.Second); n.Load() != want; time.Sleep(5 * time.Millisecond) {
-			must.True(t, time.Now().Before(limit), must.Sprintf("%d of %d seen", n.Load(), want))
+		for deadline := time.Now().Add(5 * time.Second); n.Load() != want; time.Sleep(5 * time.Millisecond) {
+			must.True(t, time.Now().Before(deadline), must.Sprintf("%d of %d seen", n.Load(), want))
 		}
 	}
 	commit("p/1")
@@ -165,9 +167,9 @@
 	must.Eq(t, 2, regained.Load())
 }
 
-// That the store is back is known at once, although nothing changes: until then
-// callers are refused.
-func TestFollowerKnowsAtOnceThatTheStoreIsBack(t *testing.T) {
+// The follower must report the store's recovery at once, even if no key changes,
+// because callers are refused until it does.
+func TestFollowerReportsRecoveryWithoutWaitingForAChange(t *testing.T) {
 	var fault atomic.Int64
 	store := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
 	regained := make(chan struct{}, 4)
@@ -184,13 +186,13 @@
 		close(ended)
 	}()
 	<-regained
-	store.Write(put("p/1")) // ends the watch; the next one fails
+	store.Write(createKey("p/1")) // ends the watch; the next one fails
 	<-lost
 	fault.Store(int64(keyspace.Served))
 	select {
 	case <-regained:
 	case <-time.After(2 * time.Second): // well within a watch's wait
-		t.Error("the store has been back for two seconds")
+		t.Error("recovery not reported within 2 s")
 	}
 	cancel()
 	<-ended
--- a/kvstore/guard_test.go
+++ b/kvstore/guard_test.go
@@ -17,23 +17,23 @@
 
 func newGuard(t *testing.T, opts kvstore.Options) (*kv.Server, *kvstore.Guard) {
 	t.Helper()
-	stand := kv.New()
-	server := httptest.NewServer(stand)
+	store := kv.New()
+	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	opts.Base = server.URL
-	return stand, kvstore.New(opts)
+	return store, kvstore.New(opts)
 }
 
-func TestLostAnswerOfAWriteIsSettledByReadingBack(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+func TestLostAnswerOfAWriteIsResolvedByReadingBack(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	lease, err := g.Grant(ctx, time.Minute)
 	must.NoError(t, err)
 
-	stand.SetFaults(kv.Faults{LoseAnswers: 1})
+	store.SetFaults(kv.Faults{LoseAnswers: 1})
 	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0)
 	must.NoError(t, err)
-	stand.SetFaults(kv.Faults{LoseAnswers: 1})
+	store.SetFaults(kv.Faults{LoseAnswers: 1})
 	held, err := g.Acquire(ctx, "term", nil, lease)
 	must.NoError(t, err)
 	must.Eq(t, lease.ID, held.Lease)
@@ -42,27 +42,27 @@
 	must.Eq(t, first.Version, got.Version) // applied once
 }
 
-func TestSwapThatLandsLateIsAppliedOnce(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+func TestDelayedSwapIsAppliedOnce(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
-	stand.SetFaults(kv.Faults{Delay: 1500 * time.Millisecond})
-	time.AfterFunc(500*time.Millisecond, func() { stand.SetFaults(kv.Faults{}) })
+	store.SetFaults(kv.Faults{Delay: 1500 * time.Millisecond})
+	time.AfterFunc(500*time.Millisecond, func() { store.SetFaults(kv.Faults{}) })
 
-	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0) // times out, is read back and sent again
+	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0) // times out, is read back and retried
 	must.NoError(t, err)
 	second, err := g.CompareAndSwap(ctx, "a", []byte("2"), first.Version)
 	must.NoError(t, err)
-	time.Sleep(time.Second) // the first try arrives now
+	time.Sleep(time.Second) // the first attempt reaches the store now
 	got, err := g.Get(ctx, "a")
 	must.NoError(t, err)
 	must.Eq(t, second.Version, got.Version)
 	must.Eq(t, "2", string(got.Value))
 }
 
-func TestPlatformThatIsDownGetsFewCallsAndNoStampede(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{Rate: 1e6, Burst: 1e6})
+func TestGuardLimitsCallsWhilePlatformIsDown(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{Rate: 1e6, Burst: 1e6})
 	ctx := context.Background()
-	stand.SetFaults(kv.Faults{Down: true})
+	store.SetFaults(kv.Faults{Down: true})
 	deadline := time.Now().Add(2 * time.Second)
 	var callers sync.WaitGroup
 	for range 20 {
@@ -76,17 +76,17 @@
 	}
 	callers.Wait()
 	must.True(t, g.Down())
-	must.Less(t, 40, stand.Calls()["refused"]) // the first round, then one for each back-off
-	stand.SetFaults(kv.Faults{})
+	must.Less(t, 40, store.Calls()["refused"]) // one from each caller, then one per back-off
+	store.SetFaults(kv.Faults{})
 	must.Wait(t, waitFor(10*time.Second, func() bool {
 		_, err := g.Get(kvstore.Urgent(ctx), "a")
 		return err == kvstore.ErrNotFound && !g.Down()
 	}))
 }
 
-func TestFrozenPlatformIsFeltWithinASecond(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
-	stand.SetFaults(kv.Faults{Delay: 4 * time.Second})
+func TestUnresponsivePlatformIsDetectedBeforeAnUrgentCallEnds(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{})
+	store.SetFaults(kv.Faults{Delay: 4 * time.Second})
 	returned := make(chan struct{})
 	go func() {
 		defer close(returned)
@@ -95,7 +95,7 @@
 	must.Wait(t, waitFor(5*time.Second, g.Down))
 	select {
 	case <-returned:
-		t.Fatal("felt only when the call ended")
+		t.Fatal("platform reported as down only after the call had ended")
 	default:
 	}
 	began := time.Now()
@@ -104,7 +104,7 @@
 	must.Less(t, 500*time.Millisecond, time.Since(began)) // held back, not waiting
 }
 
-func TestUrgentCallsPassAnExhaustedBudget(t *testing.T) {
+func TestUrgentCallsBypassAnExhaustedBudget(t *testing.T) {
 	_, g := newGuard(t, kvstore.Options{Rate: 0.001, Burst: 1})
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -116,7 +116,7 @@
 	must.ErrorIs(t, err, kvstore.ErrNotFound)
 }
 
-func TestHostThatIsCutOffFromThePlatformGoesThroughAPeer(t *testing.T) {
+func TestFallbackStoreUsesAPeerWhenThePlatformIsUnreachable(t *testing.T) {
 	_, reaching := newGuard(t, kvstore.Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -131,7 +131,7 @@
 	must.NoError(t, dead.Close())
 
 	cut := kvstore.New(kvstore.Options{Base: "http://" + dead.Addr().String()})
-	c := kvstore.NewCarrier(cut, pool, func() []string { return []string{dead.Addr().String(), l.Addr().String()} })
+	c := kvstore.NewFallbackStore(cut, pool, func() []string { return []string{dead.Addr().String(), l.Addr().String()} })
 	ctx := context.Background()
 	lease, err := c.Grant(ctx, time.Minute)
 	must.NoError(t, err)
@@ -147,17 +147,17 @@
 	must.ErrorIs(t, err, kvstore.ErrNotFound)
 }
 
-func TestWatchThatItsCallerEndsSaysNothingAboutThePlatform(t *testing.T) {
+func TestCancelledWatchDoesNotMarkThePlatformDown(t *testing.T) {
 	_, g := newGuard(t, kvstore.Options{})
-	ctx, cancel := context.WithCancel(context.Background()) // a deadline would end it in time
+	ctx, cancel := context.WithCancel(context.Background()) // without a deadline, which the watch would respect by ending earlier
 	time.AfterFunc(1200*time.Millisecond, cancel)
 	_, err := g.Watch(ctx, "a", 0)
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
 	must.False(t, g.Down())
 }
 
-func TestWatchBringsChangesAndTheSameEntryOtherwise(t *testing.T) {
-	stand, g := newGuard(t, kvstore.Options{})
+func TestWatchReturnsChangesOrTheCachedEntry(t *testing.T) {
+	store, g := newGuard(t, kvstore.Options{})
 	ctx := context.Background()
 	first, err := g.CompareAndSwap(ctx, "a", []byte("1"), 0)
 	must.NoError(t, err)
@@ -176,5 +176,5 @@
 	next, err := g.Watch(ctx, "a", first.Version)
 	must.NoError(t, err)
 	must.Eq(t, "2", string(next.Value))
-	must.Eq(t, 1, stand.Calls()["get"]) // for the change alone
+	must.Eq(t, 1, store.Calls()["get"]) // only for the change
 }
