--- a/entryhost/slices.go
+++ b/entryhost/slices.go
@@ -170,11 +170,11 @@
 
 func (s *slices) buildJobs(h *Host) {
 	s.ledgers = ledger.New(ledger.Options{
-		Store:   s.platform,
-		Gap:     h.opts.Settings.Timing.LedgerBatch(),
-		Now:     h.opts.Now,
-		Logger:  h.opts.Logger.WithPrefix("ledger"),
-		Metrics: h.opts.Metrics,
+		Store:         s.platform,
+		WriteInterval: h.opts.Settings.Timing.LedgerBatch(),
+		Now:           h.opts.Now,
+		Logger:        h.opts.Logger.WithPrefix("ledger"),
+		Metrics:       h.opts.Metrics,
 	})
 	failureDomain := h.opts.Settings.Host.FailureDomain
 	s.scheduler = gang.New(gang.Options{
@@ -190,18 +190,18 @@
 		Metrics:       h.opts.Metrics,
 	})
 	s.intake = intake.New(intake.Options{
-		FailureDomain: failureDomain,
-		Ledgers:       s.ledgers,
-		Config:        s.config,
-		Membership:    s.membership,
-		Election:      s.election,
-		Hold:          s.scheduler.Hold,
-		Takes:         s.scheduler.Takes,
-		Serving:       s.serving,
-		Peers:         s.peers,
-		Now:           h.opts.Now,
-		Logger:        h.opts.Logger.WithPrefix("intake"),
-		Metrics:       h.opts.Metrics,
+		FailureDomain:   failureDomain,
+		Ledgers:         s.ledgers,
+		Config:          s.config,
+		Membership:      s.membership,
+		Election:        s.election,
+		HoldReason:      s.scheduler.Hold,
+		SelectStartable: s.scheduler.Takes,
+		HasScheduler:    s.serving,
+		Peers:           s.peers,
+		Now:             h.opts.Now,
+		Logger:          h.opts.Logger.WithPrefix("intake"),
+		Metrics:         h.opts.Metrics,
 	})
 }
 
--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -83,7 +83,7 @@
 	d.calls = &HTTPWorkers{client: &http.Client{Transport: telemetry.Transport(transport, "worker")}, timeout: workerTimeout}
 	store := httptest.NewServer(kv.New())
 	b.Cleanup(store.Close)
-	ledgers := ledger.New(ledger.Options{Store: kvstore.NewClient(store.URL), Gap: time.Millisecond})
+	ledgers := ledger.New(ledger.Options{Store: kvstore.NewClient(store.URL), WriteInterval: time.Millisecond})
 	d.jobs = ledgers.Jobs("fd1")
 	for i := range benchHosts {
 		d.view.Hosts = append(d.view.Hosts, kvstore.Host{Name: fmt.Sprint("entry", i), Kind: kvstore.EntryHost, FailureDomain: "fd1"})
--- a/gang/leaving_test.go
+++ b/gang/leaving_test.go
@@ -54,7 +54,7 @@
 // secondEntryHost schedules fd2, and moves queued jobs to it.
 func (c *cluster) secondEntryHost() {
 	term := &fakeTerm{term: 7}
-	ledgers := ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
+	ledgers := ledger.New(ledger.Options{Store: c.client, WriteInterval: 5 * time.Millisecond})
 	in := intake.New(intake.Options{FailureDomain: "fd2", Ledgers: ledgers, Config: c.config, Membership: c.view, Election: term})
 	g := gang.New(gang.Options{FailureDomain: "fd2", Ledger: ledgers.Jobs("fd2"), Config: c.config, Membership: c.view, Election: term})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/gang/scheduler_test.go
+++ b/gang/scheduler_test.go
@@ -136,7 +136,7 @@
 // entryHost starts an entry host that holds the given term; 0 holds none.
 func (c *cluster) entryHost(term uint64, change func(*gang.Options)) *entry {
 	e := &entry{term: &fakeTerm{term: term}}
-	e.ledgers = ledger.New(ledger.Options{Store: c.client, Gap: 5 * time.Millisecond})
+	e.ledgers = ledger.New(ledger.Options{Store: c.client, WriteInterval: 5 * time.Millisecond})
 	e.intake = intake.New(intake.Options{FailureDomain: "fd1", Ledgers: e.ledgers, Config: c.config, Membership: c.view, Election: e.term})
 	o := gang.Options{FailureDomain: "fd1", Ledger: e.ledgers.Jobs("fd1"), Config: c.config, Membership: c.view, Election: e.term}
 	if change != nil {
--- a/intake/choose.go
+++ b/intake/choose.go
@@ -70,7 +70,7 @@
 func (in *Intake) best(ctx context.Context, snap *config.Snapshot, rec job.Record, fitting []candidate) (string, error) {
 	var open []candidate
 	for _, c := range fitting {
-		if !snap.FailureDomains[c.name].Out && in.o.Serving(c.name) {
+		if !snap.FailureDomains[c.name].Out && in.o.HasScheduler(c.name) {
 			open = append(open, c)
 		}
 	}
--- a/intake/http.go
+++ b/intake/http.go
@@ -137,7 +137,7 @@
 	if snap.FailureDomains[domain].Out {
 		return "failure domain " + domain + " is out of service; the job is moved or waits until it is back"
 	}
-	if reason, ok := in.o.Hold(rec.Spec.ID); ok && domain == in.o.FailureDomain {
+	if reason, ok := in.o.HoldReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
 		return reason
 	}
 	if reason, ok := in.askPeers(ctx, domain, rec.Spec.ID); ok {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -35,26 +35,26 @@
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
-	// Hold tells why a queued job of this failure domain waits; nil: unknown.
-	Hold func(job.ID) (reason string, ok bool)
-	// Serving tells whether a failure domain has a scheduler; nil: all have.
-	Serving func(failureDomain string) bool
-	// Takes tells which queued jobs of other failure domains this one could
+	// HoldReason tells why a queued job of this failure domain waits; nil: unknown.
+	HoldReason func(job.ID) (reason string, ok bool)
+	// HasScheduler tells whether a failure domain has a scheduler; nil: all have.
+	HasScheduler func(failureDomain string) bool
+	// SelectStartable tells which queued jobs of other failure domains this one could
 	// start at once; nil: none.
-	Takes     func(ctx context.Context, records []job.Record) []job.ID
-	Peers     peer.Caller   // nil: this entry host is alone
-	Retention time.Duration // 0: DefaultRetention
-	Now       func() time.Time
-	Logger    *log.Logger
-	Metrics   *metrics.Set
+	SelectStartable func(ctx context.Context, records []job.Record) []job.ID
+	Peers           peer.Caller   // nil: this entry host is alone
+	Retention       time.Duration // 0: DefaultRetention
+	Now             func() time.Time
+	Logger          *log.Logger
+	Metrics         *metrics.Set
 }
 
 func (o Options) withDefaults() Options {
-	if o.Hold == nil {
-		o.Hold = func(job.ID) (string, bool) { return "", false }
+	if o.HoldReason == nil {
+		o.HoldReason = func(job.ID) (string, bool) { return "", false }
 	}
-	if o.Serving == nil {
-		o.Serving = func(string) bool { return true }
+	if o.HasScheduler == nil {
+		o.HasScheduler = func(string) bool { return true }
 	}
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
@@ -104,13 +104,13 @@
 			return nil
 		case <-ticker.C:
 		}
-		in.Keep(ctx)
+		in.Maintain(ctx)
 	}
 }
 
-// Keep does one round of pruning and moving, if this host holds the term. Only
+// Maintain does one round of pruning and moving, if this host holds the term. Only
 // Run, or a test without it, calls it.
-func (in *Intake) Keep(ctx context.Context) {
+func (in *Intake) Maintain(ctx context.Context) {
 	if _, _, held := in.o.Election.Term(); !held {
 		return
 	}
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -91,7 +91,7 @@
 
 // entryHost returns an entry host's intake and its ledgers.
 func (s *site) entryHost(domain string) (*intake.Intake, *ledger.Ledgers) {
-	ledgers := ledger.New(ledger.Options{Store: s.store, Gap: 20 * time.Millisecond})
+	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	return intake.New(intake.Options{FailureDomain: domain, Ledgers: ledgers, Config: s, Membership: s,
 		Election: s, Now: s.clock}), ledgers
 }
@@ -305,13 +305,13 @@
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1", Out: true}, "fd2": {Name: "fd2"}}
 	})
 	other, _ := s.entryHost("fd2")
-	other.Keep(ctx)
+	other.Maintain(ctx)
 	_, found, err := ledgers.Jobs("fd2").Read(ctx, spec("waits").ID.String())
 	must.NoError(t, err)
 	must.False(t, found, must.Sprint("start permits have not lapsed yet"))
 	s.pass(10 * time.Second)
-	other.Keep(ctx)
-	other.Keep(ctx)
+	other.Maintain(ctx)
+	other.Maintain(ctx)
 
 	moved, err := ledgers.Jobs("fd2").ReadAll(ctx)
 	must.NoError(t, err)
@@ -330,9 +330,9 @@
 	s.edit(func(c *config.Snapshot) {
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2", Out: true}}
 	})
-	in.Keep(ctx)
+	in.Maintain(ctx)
 	s.pass(10 * time.Second)
-	in.Keep(ctx)
+	in.Maintain(ctx)
 	rec, err = in.Find(ctx, org, spec("waits").ID)
 	must.NoError(t, err)
 	must.EqOp(t, 2, rec.Moves)
@@ -362,11 +362,11 @@
 	must.NoError(t, err)
 	_, err = ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
-	in.Keep(ctx)
+	in.Maintain(ctx)
 	_, err = in.Find(ctx, org, spec("ends").ID)
 	must.NoError(t, err, must.Sprint("kept for a while"))
 	s.pass(intake.DefaultRetention + time.Second)
-	in.Keep(ctx)
+	in.Maintain(ctx)
 	records, err := ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
 	must.Eq(t, []string{spec("waits").ID.String()}, sortedNames(records))
--- a/intake/keep.go
+++ b/intake/keep.go
@@ -112,7 +112,7 @@
 	now := in.o.Now()
 	var out []string
 	for name, d := range snap.FailureDomains {
-		if !d.Out && in.o.Serving(name) {
+		if !d.Out && in.o.HasScheduler(name) {
 			delete(in.since, name)
 			continue
 		}
@@ -135,7 +135,7 @@
 func (in *Intake) mover(snap *config.Snapshot, closed string) string {
 	best, top := "", uint64(0)
 	for name, d := range snap.FailureDomains {
-		if d.Out || !in.o.Serving(name) {
+		if d.Out || !in.o.HasScheduler(name) {
 			continue
 		}
 		sum := xxhash.Sum64String(name + "/" + closed)
--- a/intake/ledger/ledger.go
+++ b/intake/ledger/ledger.go
@@ -23,8 +23,8 @@
 	indexPrefix = "cyclamentray/jobs/index"
 	jobsPrefix  = "cyclamentray/jobs/ledger/"
 	notesPrefix = "cyclamentray/jobs/notes"
-	// MaxEntries bounds the entries of one shard, so that its value stays under 1 MB.
-	MaxEntries = 5000
+	// MaxShardEntries bounds the entries of one shard, so that its value stays under 1 MB.
+	MaxShardEntries = 5000
 )
 
 var errFull = apierr.New(apierr.Overloaded,
@@ -58,12 +58,12 @@
 
 // Options configures a Ledgers.
 type Options struct {
-	Store   kvstore.Store
-	Shards  int           // 0: DefaultShards; the same on every host
-	Gap     time.Duration // 0: DefaultGap
-	Now     func() time.Time
-	Logger  *log.Logger
-	Metrics *metrics.Set
+	Store         kvstore.Store
+	Shards        int           // 0: DefaultShards; the same on every host
+	WriteInterval time.Duration // 0: DefaultGap
+	Now           func() time.Time
+	Logger        *log.Logger
+	Metrics       *metrics.Set
 }
 
 // Ledgers gives the ledgers of all failure domains and the index over them.
@@ -86,7 +86,7 @@
 
 func (b *Ledgers) table(prefix string) TableOptions {
 	return TableOptions{
-		Store: b.o.Store, Prefix: prefix, Shards: b.o.Shards, Gap: b.o.Gap,
+		Store: b.o.Store, Prefix: prefix, Shards: b.o.Shards, WriteInterval: b.o.WriteInterval,
 		Now: b.o.Now, Logger: b.o.Logger, Metrics: b.o.Metrics,
 	}
 }
--- a/intake/ledger/ledger_test.go
+++ b/intake/ledger/ledger_test.go
@@ -48,7 +48,7 @@
 }
 
 func newTable(store kvstore.Store) *ledger.Table[int] {
-	return ledger.NewTable[int](ledger.TableOptions{Store: store, Prefix: "t", Shards: 2, Gap: 5 * time.Millisecond})
+	return ledger.NewTable[int](ledger.TableOptions{Store: store, Prefix: "t", Shards: 2, WriteInterval: 5 * time.Millisecond})
 }
 
 // increment is not idempotent: a write repeated after a lost answer would show.
--- a/intake/ledger/shard.go
+++ b/intake/ledger/shard.go
@@ -151,7 +151,7 @@
 		s.mu.Unlock()
 		call.page, call.err = s.fetch(context.Background())
 		close(call.done)
-		time.Sleep(s.t.o.Gap / readsPerGap)
+		time.Sleep(s.t.o.WriteInterval / readsPerGap)
 	}
 }
 
@@ -216,7 +216,7 @@
 		}
 		s.mu.Unlock()
 		s.commit(group)
-		time.Sleep(s.t.o.Gap)
+		time.Sleep(s.t.o.WriteInterval)
 	}
 }
 
@@ -232,7 +232,7 @@
 	var err error
 	for n := range maxAttempts {
 		if n > 0 {
-			time.Sleep(mathrand.N(s.t.o.Gap * time.Duration(min(n, 4)) / 2))
+			time.Sleep(mathrand.N(s.t.o.WriteInterval * time.Duration(min(n, 4)) / 2))
 		}
 		var base page[V]
 		base, err = s.base(n > 0)
@@ -340,7 +340,7 @@
 		}
 		old, found := entries[u.key]
 		next, keep, err := u.change(old, found)
-		if err == nil && keep && !found && len(entries) >= MaxEntries {
+		if err == nil && keep && !found && len(entries) >= MaxShardEntries {
 			err = errFull
 		}
 		switch {
--- a/intake/ledger/size_test.go
+++ b/intake/ledger/size_test.go
@@ -35,7 +35,7 @@
 // BenchmarkShard reports the size of one shard's value and the time to pack
 // and unpack it: a failure domain's day, the same with a burst of 2,000, and full.
 func BenchmarkShard(b *testing.B) {
-	for _, records := range []int{66, 566, MaxEntries} {
+	for _, records := range []int{66, 566, MaxShardEntries} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			p := benchPage(records)
 			var value []byte
--- a/intake/ledger/table.go
+++ b/intake/ledger/table.go
@@ -19,21 +19,21 @@
 const (
 	// DefaultShards is the number of values that a table is spread over.
 	DefaultShards = 4
-	// DefaultGap is the least time between two writes of one shard by one host.
-	DefaultGap = 200 * time.Millisecond
+	// DefaultWriteInterval is the least time between two writes of one shard by one host.
+	DefaultWriteInterval = 200 * time.Millisecond
 	// retryDelay is how long a failed watch rests before the next.
 	retryDelay = 500 * time.Millisecond
 )
 
 // TableOptions configures a table.
 type TableOptions struct {
-	Store   kvstore.Store
-	Prefix  string        // of the shards' keys, such as "jobs/ledger/fd1"
-	Shards  int           // 0: DefaultShards; the same on every host
-	Gap     time.Duration // 0: DefaultGap
-	Now     func() time.Time
-	Logger  *log.Logger  // nil: the default logger
-	Metrics *metrics.Set // nil: a private set
+	Store         kvstore.Store
+	Prefix        string        // of the shards' keys, such as "jobs/ledger/fd1"
+	Shards        int           // 0: DefaultShards; the same on every host
+	WriteInterval time.Duration // 0: DefaultGap
+	Now           func() time.Time
+	Logger        *log.Logger  // nil: the default logger
+	Metrics       *metrics.Set // nil: a private set
 }
 
 // Table is a map kept in a few values of the platform's store. Updates that
@@ -54,8 +54,8 @@
 	if o.Shards == 0 {
 		o.Shards = DefaultShards
 	}
-	if o.Gap == 0 {
-		o.Gap = DefaultGap
+	if o.WriteInterval == 0 {
+		o.WriteInterval = DefaultWriteInterval
 	}
 	o.Now = defaults.Now(o.Now)
 	o.Logger = defaults.Logger(o.Logger)
--- a/intake/linear_test.go
+++ b/intake/linear_test.go
@@ -193,7 +193,7 @@
 		if client == 0 {
 			store = kvstore.New(kvstore.Options{Base: server.URL, Rate: 1000, Burst: 1000})
 		}
-		ledgers := ledger.New(ledger.Options{Store: store, Gap: 10 * time.Millisecond, Logger: quiet})
+		ledgers := ledger.New(ledger.Options{Store: store, WriteInterval: 10 * time.Millisecond, Logger: quiet})
 		in := intake.New(intake.Options{FailureDomain: "fd1", Ledgers: ledgers, Config: s, Membership: s, Election: s, Now: s.clock, Logger: quiet})
 		c := &caller{in: in, random: rand.New(rand.NewPCG(seed, uint64(client+1))), client: client, began: began}
 		all = append(all, c)
--- a/intake/pull.go
+++ b/intake/pull.go
@@ -26,12 +26,12 @@
 	now := in.o.Now()
 	snap, _ := in.o.Config.Current()
 	here := snap.FailureDomains[in.o.FailureDomain]
-	if in.o.Takes == nil || here.Out || now.Sub(in.pulled) < pullEvery || in.waiting() {
+	if in.o.SelectStartable == nil || here.Out || now.Sub(in.pulled) < pullEvery || in.waiting() {
 		return
 	}
 	in.pulled = now
 	for _, from := range sortedKeys(snap.FailureDomains) {
-		if from == here.Name || snap.FailureDomains[from].Out || !in.o.Serving(from) {
+		if from == here.Name || snap.FailureDomains[from].Out || !in.o.HasScheduler(from) {
 			continue
 		}
 		if err := in.pullFrom(ctx, from); err != nil {
@@ -66,7 +66,7 @@
 		return nil
 	}
 	var g errgroup.Group
-	for _, id := range in.o.Takes(ctx, offered) {
+	for _, id := range in.o.SelectStartable(ctx, offered) {
 		g.Go(func() error {
 			return in.moveOne(ctx, id.String(), from, in.o.FailureDomain, "failure domain "+in.o.FailureDomain+" has room for it")
 		})
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -17,13 +17,13 @@
 
 // taker returns the intake of a host whose scheduler has room for the named jobs.
 func (s *site) taker(t *testing.T, domain string, names ...string) *intake.Intake {
-	ledgers := ledger.New(ledger.Options{Store: s.store, Gap: 20 * time.Millisecond})
+	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = ledgers.Run(ctx, domain) }()
 	return intake.New(intake.Options{
 		FailureDomain: domain, Ledgers: ledgers, Config: s, Membership: s, Election: s, Now: s.clock,
-		Takes: func(_ context.Context, records []job.Record) []job.ID {
+		SelectStartable: func(_ context.Context, records []job.Record) []job.ID {
 			var taken []job.ID
 			for _, rec := range records {
 				for _, name := range names {
@@ -66,7 +66,7 @@
 	other := s.taker(t, "fd2", "waits", "pinned")
 	for range 20 {
 		s.pass(time.Minute)
-		other.Keep(ctx)
+		other.Maintain(ctx)
 		must.Eq(t, all, held("fd1"), must.Sprint("fd2 is out"))
 		time.Sleep(10 * time.Millisecond) // its own ledger is read meanwhile
 	}
@@ -78,7 +78,7 @@
 		for deadline := time.Now().Add(20 * time.Second); !slices.Equal(held(domain), jobs); time.Sleep(10 * time.Millisecond) {
 			must.True(t, time.Now().Before(deadline), must.Sprint("gave up waiting for ", jobs, " in ", domain))
 			s.pass(step)
-			in.Keep(ctx)
+			in.Maintain(ctx)
 		}
 	}
 	keepUntil(other, time.Second, "fd2", all[2:])
