--- a/claims/bound.go
+++ b/claims/bound.go
@@ -10,8 +10,8 @@
 
 const maxBoundKeys = 100_000
 
-// boundTo returns the incarnation that a key is bound to.
-func boundTo(key string) (incarnation string, ok bool) {
+// boundIncarnation returns the incarnation that a key is bound to.
+func boundIncarnation(key string) (incarnation string, ok bool) {
 	incarnation, _, found := strings.Cut(key, boundSeparator)
 	dot := strings.LastIndex(incarnation, ".")
 	return incarnation, found && dot > 0 && len(incarnation)-dot-1 == 2*incarnationBytes
@@ -21,7 +21,7 @@
 // ended, its memory of the key is gone and the key is unknown for good.
 func (s *Service) claimBound(ctx context.Context, incarnation string, req Request) (Reply, error) {
 	if incarnation == s.incarnation {
-		return s.claimHere(req)
+		return s.claimLocal(req)
 	}
 	var reply Reply
 	found, err := s.callBound(ctx, incarnation, "Claims.Claim", req, &reply)
@@ -31,7 +31,7 @@
 	return reply, err
 }
 
-func (s *Service) claimHere(req Request) (Reply, error) {
+func (s *Service) claimLocal(req Request) (Reply, error) {
 	s.boundMu.Lock()
 	defer s.boundMu.Unlock()
 	if s.bound.records[hashKey(req.Key)] == nil && len(s.bound.records) >= maxBoundKeys {
@@ -94,8 +94,8 @@
 
 // Claim grants a key that this host decides on.
 func (e *endpoint) Claim(req Request, reply *Reply) error {
-	if incarnation, ok := boundTo(req.Key.Key); ok {
-		return e.bound(incarnation, reply, func() (Reply, error) { return e.service.claimHere(req) })
+	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
+		return e.answerBound(incarnation, reply, func() (Reply, error) { return e.service.claimLocal(req) })
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -110,7 +110,7 @@
 
 // Complete records the end of an attempt.
 func (e *endpoint) Complete(c Completion, _ *Ack) error {
-	if incarnation, ok := boundTo(c.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(c.Key.Key); ok {
 		if incarnation != e.service.incarnation {
 			return nil
 		}
@@ -125,8 +125,8 @@
 
 // Outcome looks a key up.
 func (e *endpoint) Outcome(k Key, reply *Reply) error {
-	if incarnation, ok := boundTo(k.Key); ok {
-		return e.bound(incarnation, reply, func() (Reply, error) {
+	if incarnation, ok := boundIncarnation(k.Key); ok {
+		return e.answerBound(incarnation, reply, func() (Reply, error) {
 			return e.service.lookupBound(context.Background(), incarnation, k)
 		})
 	}
@@ -139,13 +139,13 @@
 	return err
 }
 
-// bound answers for this incarnation; a key of an earlier one is unknown.
-func (e *endpoint) bound(incarnation string, reply *Reply, here func() (Reply, error)) error {
+// answerBound answers for this incarnation; a key of an earlier one is unknown.
+func (e *endpoint) answerBound(incarnation string, reply *Reply, local func() (Reply, error)) error {
 	if incarnation != e.service.incarnation {
 		*reply = Reply{Verdict: Unknown}
 		return nil
 	}
-	got, err := here()
+	got, err := local()
 	*reply = got
 	return err
 }
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -143,10 +143,10 @@
 // off, silenced, or loses answers after their effect, and others take over.
 func TestKeyIsGrantedOnceUnderFaults(t *testing.T) {
 	const (
-		faults   = 4
-		newKey   = 10 * time.Millisecond // a new key comes up this often
-		recent   = 200                   // and is tried until so many newer ones came up
-		leastKey = 50                    // granted
+		faultKinds   = 4
+		newKeyInterval   = 10 * time.Millisecond // a new key comes up this often
+		recentKeys   = 200                   // and is tried until so many newer ones came up
+		minGrantedKeys = 50                    // granted
 	)
 	c := startCluster(t, 3, func(o *claims.Options) {
 		o.Segments, o.EventsPerSegment = 512, 8 // often on to the next segment
@@ -161,8 +161,8 @@
 		rng := rand.New(rand.NewSource(int64(i)))
 		tries.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				newest := int(time.Since(began) / newKey)
-				key := fmt.Sprint("key", max(0, newest-rng.Intn(recent)))
+				newest := int(time.Since(began) / newKeyInterval)
+				key := fmt.Sprint("key", max(0, newest-rng.Intn(recentKeys)))
 				verdict, err := h.claim(key, fmt.Sprintf("%d-%d", i, n), time.Second)
 				if err == nil && verdict == claims.Granted {
 					mu.Lock()
@@ -172,16 +172,16 @@
 			}
 		})
 	}
-	for n := range faults {
+	for n := range faultKinds {
 		for _, h := range c.hosts {
-			disturb(h.proxy, n)
+			injectFault(h.proxy, n)
 			time.Sleep(2 * leaseTTL)
 			h.proxy.Heal()
 		}
 	}
 	cancel()
 	tries.Wait()
-	must.Greater(t, leastKey, len(grants))
+	must.Greater(t, minGrantedKeys, len(grants))
 	for key, n := range grants {
 		must.Eq(t, 1, n, must.Sprint(key))
 	}
@@ -189,8 +189,8 @@
 	c.hosts[2].mustGrant(t, "last", "a")
 }
 
-// disturb puts the nth kind of fault on a host's way to the store.
-func disturb(p *faultproxy.Proxy, n int) {
+// injectFault puts the nth kind of fault on a host's way to the store.
+func injectFault(p *faultproxy.Proxy, n int) {
 	switch n % 4 {
 	case 0: // answers lost after their effect
 		p.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
@@ -206,7 +206,7 @@
 }
 
 // Without the platform a plain key is refused soon, and is free afterwards.
-func TestPlainKeysAreRefusedWithoutThePlatform(t *testing.T) {
+func TestUnboundKeysAreRefusedWithoutThePlatform(t *testing.T) {
 	h := startCluster(t, 1).hosts[0]
 	h.mustGrant(t, "x", "a")
 	h.proxy.Set(faultproxy.Up, faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true})
@@ -254,10 +254,10 @@
 // new keys are refused, also by the next owner, and nothing is forgotten.
 func TestFullLogRefusesNewKeys(t *testing.T) {
 	const room = 8
-	var passed atomic.Int64 // added to the clock
+	var clockOffset atomic.Int64 // added to the clock
 	c := startCluster(t, 2, func(o *claims.Options) {
 		o.Shards, o.Segments, o.EventsPerSegment = 1, 4, 2
-		o.Now = func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
+		o.Now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	})
 	for i := range room {
 		c.hosts[i%2].mustGrant(t, fmt.Sprint("k", i), "a")
@@ -272,7 +272,7 @@
 			h.stop()
 		}
 	}
-	passed.Store(int64(2 * claims.DefaultRetention))
+	clockOffset.Store(int64(2 * claims.DefaultRetention))
 	c.hosts[1].mustGrant(t, "more", "b")
 }
 
@@ -291,12 +291,12 @@
 	reply, err := c.hosts[1].service.Outcome(t.Context(), request(key, "").Key)
 	must.NoError(t, err)
 	must.Eq(t, claims.Reply{Verdict: claims.Done, Answer: done.Answer}, reply)
-	gone := "e0.0123456789abcdef~booking-2" // an earlier incarnation of the same host
-	must.Eq(t, claims.Unknown, c.hosts[1].mustClaim(t, gone, "a"))
-	must.Eq(t, claims.Unknown, c.hosts[0].mustClaim(t, gone, "a"))
+	endedKey := "e0.0123456789abcdef~booking-2" // an earlier incarnation of the same host
+	must.Eq(t, claims.Unknown, c.hosts[1].mustClaim(t, endedKey, "a"))
+	must.Eq(t, claims.Unknown, c.hosts[0].mustClaim(t, endedKey, "a"))
 }
 
-func TestKeyNamesOneRequest(t *testing.T) {
+func TestKeyWithOtherFingerprintIsRefused(t *testing.T) {
 	c := startCluster(t, 1)
 	must.Eq(t, claims.Granted, c.hosts[0].mustClaim(t, "k", "a"))
 	other := request("k", "b")
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	loadParallel  = 16
+	maxParallelLoads  = 16
 	callTimeout   = time.Second
-	firstBackoff  = 20 * time.Millisecond
+	initialBackoff  = 20 * time.Millisecond
 	maxBackoff    = time.Second
-	maxFenceTries = 8
+	maxFenceAttempts = 8
 )
 
 var (
 	// errFenced means that another host has taken the shard over.
 	errFenced = errors.New("claims: another host owns the shard now; ask it")
-	// errFull means that the log's ring holds no segment old enough to reuse.
-	errFull = errors.New("claims: the log is full of keys within their retention; raise Segments or lower Retention")
+	// errLogFull means that the log's ring holds no segment old enough to reuse.
+	errLogFull = errors.New("claims: the log is full of keys within their retention; raise Segments or lower Retention")
 )
 
 // journal is a shard's log: a ring of segments in the store, each under its own
@@ -37,20 +37,20 @@
 	term     uint64
 	versions []uint64    // of each slot of the ring
 	newest   []time.Time // newest event of each slot; zero: none
-	open     segment     // as last written
-	troubled func(error) // told of every failed call, and nil when a write settled
+	current     segment     // as last written
+	onWriteResult func(error) // told of every failed call, and nil when a write settled
 }
 
-func newJournal(o *Options, shard int, term uint64, troubled func(error)) *journal {
+func newJournal(o *Options, shard int, term uint64, onWriteResult func(error)) *journal {
 	return &journal{
-		opts: o, shard: shard, term: term, troubled: troubled,
+		opts: o, shard: shard, term: term, onWriteResult: onWriteResult,
 		versions: make([]uint64, o.Segments), newest: make([]time.Time, o.Segments),
 	}
 }
 
-func (j *journal) key(slot int) string { return fmt.Sprintf("claims/%d/%d", j.shard, slot) }
+func (j *journal) slotKey(slot int) string { return fmt.Sprintf("claims/%d/%d", j.shard, slot) }
 
-func (j *journal) slot(seq uint64) int { return int(seq % uint64(j.opts.Segments)) }
+func (j *journal) slotOf(seq uint64) int { return int(seq % uint64(j.opts.Segments)) }
 
 // takeOver fences every earlier owner and returns the log's events in order.
 //
@@ -59,7 +59,7 @@
 // is decided; so its next write fails, and no event of its is missed. Nothing
 // is lost or used up, so a full log can be taken over too.
 func (j *journal) takeOver(ctx context.Context) ([]event, error) {
-	for range maxFenceTries {
+	for range maxFenceAttempts {
 		segments, err := j.load(ctx)
 		if err != nil {
 			return nil, err
@@ -71,7 +71,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return inOrder(segments), nil
+		return eventsInOrder(segments), nil
 	}
 	return nil, errors.New("claims: the shard's log kept changing; retry later")
 }
@@ -82,8 +82,8 @@
 	ctx = kvstore.Urgent(ctx)
 	segments := make([]segment, j.opts.Segments)
 	clear(j.versions)
-	for first := 1; first <= len(segments); first += loadParallel {
-		more, err := j.loadSome(ctx, segments, first, min(first+loadParallel, len(segments)+1))
+	for first := 1; first <= len(segments); first += maxParallelLoads {
+		more, err := j.loadRange(ctx, segments, first, min(first+maxParallelLoads, len(segments)+1))
 		if err != nil {
 			return nil, err
 		}
@@ -100,29 +100,29 @@
 	return segments, nil
 }
 
-// loadSome reads the slots of the sequence numbers from first up to, without,
+// loadRange reads the slots of the sequence numbers from first up to, without,
 // end. It returns false when one of them was never written.
-func (j *journal) loadSome(ctx context.Context, segments []segment, first, end int) (more bool, err error) {
+func (j *journal) loadRange(ctx context.Context, segments []segment, first, end int) (more bool, err error) {
 	var group errgroup.Group
 	for seq := first; seq < end; seq++ {
-		slot := j.slot(uint64(seq))
-		group.Go(func() error { return j.loadOne(ctx, segments, slot) })
+		slot := j.slotOf(uint64(seq))
+		group.Go(func() error { return j.loadSlot(ctx, segments, slot) })
 	}
 	if err := group.Wait(); err != nil {
 		return false, err
 	}
 	for seq := first; seq < end; seq++ {
-		if j.versions[j.slot(uint64(seq))] == 0 {
+		if j.versions[j.slotOf(uint64(seq))] == 0 {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-func (j *journal) loadOne(ctx context.Context, segments []segment, slot int) error {
+func (j *journal) loadSlot(ctx context.Context, segments []segment, slot int) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	e, err := j.opts.Store.Get(ctx, j.key(slot))
+	e, err := j.opts.Store.Get(ctx, j.slotKey(slot))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil
 	}
@@ -148,34 +148,34 @@
 	if last.seq > 0 {
 		last.term = j.term
 		last.commits++
-		if err := j.settle(ctx, j.slot(last.seq), last); err != nil {
+		if err := j.writeSegment(ctx, j.slotOf(last.seq), last); err != nil {
 			return err
 		}
 	}
-	slot := j.slot(last.seq + 1)
+	slot := j.slotOf(last.seq + 1)
 	next := segments[slot]
 	next.term = j.term
 	next.commits++
-	if err := j.settle(ctx, slot, next); err != nil {
+	if err := j.writeSegment(ctx, slot, next); err != nil {
 		return err
 	}
-	j.open = last
+	j.current = last
 	if last.seq == 0 {
-		j.open = segment{term: j.term, seq: 1}
+		j.current = segment{term: j.term, seq: 1}
 	}
 	return nil
 }
 
-func (j *journal) checkReusable(seq uint64) error {
-	newest := j.newest[j.slot(seq)]
+func (j *journal) checkSlotReusable(seq uint64) error {
+	newest := j.newest[j.slotOf(seq)]
 	if !newest.IsZero() && j.opts.Now().Sub(newest) < j.opts.Retention {
-		return errFull
+		return errLogFull
 	}
 	return nil
 }
 
-// inOrder returns the events of all segments, oldest first.
-func inOrder(segments []segment) []event {
+// eventsInOrder returns the events of all segments, oldest first.
+func eventsInOrder(segments []segment) []event {
 	oldest := 0
 	for slot, s := range segments {
 		if s.seq > 0 && (segments[oldest].seq == 0 || s.seq < segments[oldest].seq) {
@@ -193,29 +193,29 @@
 // however often calls fail; errFenced when another host has taken over; errFull;
 // or ctx's error, after which the journal must not be used again.
 func (j *journal) append(ctx context.Context, events []event) error {
-	next := j.open
+	next := j.current
 	if len(next.events)+len(events) > j.opts.EventsPerSegment && len(next.events) > 0 {
-		next = segment{term: j.term, seq: j.open.seq + 1}
-		if err := j.checkReusable(next.seq); err != nil {
+		next = segment{term: j.term, seq: j.current.seq + 1}
+		if err := j.checkSlotReusable(next.seq); err != nil {
 			return err
 		}
 	}
 	next.commits++
 	next.newest = j.opts.Now()
 	next.events = append(next.events[:len(next.events):len(next.events)], events...)
-	backoff := firstBackoff
+	backoff := initialBackoff
 	for {
-		err := j.settle(ctx, j.slot(next.seq), next)
+		err := j.writeSegment(ctx, j.slotOf(next.seq), next)
 		if err == nil {
-			j.open = next
-			j.newest[j.slot(next.seq)] = next.newest
-			j.troubled(nil)
+			j.current = next
+			j.newest[j.slotOf(next.seq)] = next.newest
+			j.onWriteResult(nil)
 			return nil
 		}
 		if errors.Is(err, kvstore.ErrConflict) {
 			return errFenced
 		}
-		j.troubled(err)
+		j.onWriteResult(err)
 		if !pause.For(ctx, backoff) {
 			return ctx.Err()
 		}
@@ -223,19 +223,19 @@
 	}
 }
 
-// settle writes a segment to its slot once. When the write's answer is lost it reads back;
+// writeSegment writes a segment to its slot once. When the write's answer is lost it reads back;
 // an error other than ErrConflict leaves open whether the write took effect, and
 // the same segment must be settled again before any other.
-func (j *journal) settle(ctx context.Context, slot int, s segment) error {
+func (j *journal) writeSegment(ctx context.Context, slot int, s segment) error {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), callTimeout)
 	defer cancel()
 	value := s.encode()
-	e, err := j.opts.Store.CompareAndSwap(ctx, j.key(slot), value, j.versions[slot])
+	e, err := j.opts.Store.CompareAndSwap(ctx, j.slotKey(slot), value, j.versions[slot])
 	if err == nil {
 		j.versions[slot] = e.Version
 		return nil
 	}
-	now, readErr := j.opts.Store.Get(ctx, j.key(slot))
+	now, readErr := j.opts.Store.Get(ctx, j.slotKey(slot))
 	if errors.Is(readErr, kvstore.ErrNotFound) && j.versions[slot] == 0 {
 		return err
 	}
--- a/claims/journal_test.go
+++ b/claims/journal_test.go
@@ -17,7 +17,7 @@
 	const perSegment = 4
 	for _, c := range []struct {
 		name       string
-		later, old int // events that the later and then the earlier owner append
+		later, earlier int // events that the later and then the earlier owner append
 	}{
 		{"same segment", 1, 1},
 		{"later owner went on to the next segment", perSegment, 1},
@@ -29,8 +29,8 @@
 			defer server.Close()
 			o := Options{Store: kvstore.NewClient(server.URL), Segments: 4, EventsPerSegment: perSegment}.withDefaults()
 			ctx := t.Context()
-			ignore := func(error) {}
-			earlier, later := newJournal(&o, 0, 1, ignore), newJournal(&o, 0, 2, ignore)
+			ignoreResult := func(error) {}
+			earlier, later := newJournal(&o, 0, 1, ignoreResult), newJournal(&o, 0, 2, ignoreResult)
 			_, err := earlier.takeOver(ctx)
 			must.NoError(t, err)
 			must.NoError(t, earlier.append(ctx, make([]event, perSegment-1)))
@@ -38,14 +38,14 @@
 			must.NoError(t, err)
 			must.Len(t, perSegment-1, events)
 			must.NoError(t, later.append(ctx, make([]event, c.later)))
-			must.ErrorIs(t, earlier.append(ctx, make([]event, c.old)), errFenced)
+			must.ErrorIs(t, earlier.append(ctx, make([]event, c.earlier)), errFenced)
 			_, err = earlier.takeOver(ctx)
 			must.ErrorIs(t, err, errFenced)
 		})
 	}
 }
 
-func TestSegmentSurvivesTheStore(t *testing.T) {
+func TestSegmentEncodingRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "data")
 		s, err := decodeSegment(data)
--- a/claims/lease.go
+++ b/claims/lease.go
@@ -12,12 +12,12 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-func headKey(shard int) string { return fmt.Sprintf("claims/%d/owner", shard) }
+func ownerKey(shard int) string { return fmt.Sprintf("claims/%d/owner", shard) }
 
-// leaseKeeper holds the one lease under which a host owns shards. The lease
+// leaseManager holds the one lease under which a host owns shards. The lease
 // only decides who takes a shard over; what a late owner writes is refused by
 // the journal, not by the lease. It is safe for concurrent use.
-type leaseKeeper struct {
+type leaseManager struct {
 	store kvstore.Store
 	ttl   time.Duration
 
@@ -25,8 +25,8 @@
 	lease kvstore.Lease // empty ID: none
 }
 
-// get returns the lease, and asks for one when there is none.
-func (k *leaseKeeper) get(ctx context.Context) (kvstore.Lease, error) {
+// getOrGrant returns the lease, and asks for one when there is none.
+func (k *leaseManager) getOrGrant(ctx context.Context) (kvstore.Lease, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease.ID != "" {
@@ -39,8 +39,8 @@
 	return lease, err
 }
 
-// lost forgets a lease that has lapsed.
-func (k *leaseKeeper) lost(lease kvstore.Lease) {
+// forget forgets a lease that has lapsed.
+func (k *leaseManager) forget(lease kvstore.Lease) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease.ID == lease.ID {
@@ -48,8 +48,8 @@
 	}
 }
 
-// run renews the lease until ctx ends.
-func (k *leaseKeeper) run(ctx context.Context, interval time.Duration) {
+// renewUntilDone renews the lease until ctx ends.
+func (k *leaseManager) renewUntilDone(ctx context.Context, interval time.Duration) {
 	for pause.For(ctx, interval) {
 		k.mu.Lock()
 		lease := k.lease
@@ -61,19 +61,19 @@
 		err := k.store.Renew(callCtx, lease)
 		cancel()
 		if errors.Is(err, kvstore.ErrLeaseLost) {
-			k.lost(lease)
+			k.forget(lease)
 		}
 	}
 }
 
-// drop gives the lease up, so that others may take its shards at once.
-func (k *leaseKeeper) drop(ctx context.Context) {
+// revokeWithTimeout gives the lease up, so that others may take its shards at once.
+func (k *leaseManager) revokeWithTimeout(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.revoke(ctx)
 }
 
-func (k *leaseKeeper) revoke(ctx context.Context) {
+func (k *leaseManager) revoke(ctx context.Context) {
 	k.mu.Lock()
 	lease := k.lease
 	k.lease = kvstore.Lease{}
--- a/claims/service.go
+++ b/claims/service.go
@@ -34,9 +34,9 @@
 )
 
 const (
-	renewFraction    = 3 // a lease is renewed this often in its TTL
-	takeOverSpread   = 300 * time.Millisecond
-	routeRetry       = 50 * time.Millisecond
+	renewalsPerTTL    = 3 // a lease is renewed this often in its TTL
+	takeOverDelayPerShard   = 300 * time.Millisecond
+	ownerRetryInterval       = 50 * time.Millisecond
 	expireInterval   = time.Minute
 	watchTimeout     = 15 * time.Second // the store answers a watch within 10 s
 	incarnationBytes = 8
@@ -99,9 +99,9 @@
 type Service struct {
 	opts        Options
 	incarnation string
-	lease       leaseKeeper
+	lease       leaseManager
 
-	storeFails atomic.Bool // the last read of a shard's head failed
+	storeFailing atomic.Bool // the last read of a shard's head failed
 
 	mu     sync.Mutex
 	owned  map[int]*shard
@@ -123,7 +123,7 @@
 	var random [incarnationBytes]byte
 	_, _ = rand.Read(random[:])
 	s.incarnation = o.Membership.View().Self.Name + "." + hex.EncodeToString(random[:])
-	s.lease = leaseKeeper{store: o.Store, ttl: o.LeaseTTL}
+	s.lease = leaseManager{store: o.Store, ttl: o.LeaseTTL}
 	return s
 }
 
@@ -135,11 +135,11 @@
 // of a key only, until that attempt is completed as not run. An error means
 // that nothing was granted. It waits for a change of owner while ctx lasts.
 func (s *Service) Claim(ctx context.Context, req Request) (Reply, error) {
-	if incarnation, ok := boundTo(req.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
 		return s.claimBound(ctx, incarnation, req)
 	}
 	var reply Reply
-	err := s.atOwner(ctx, req.Key, "Claims.Claim", req, &reply, func(sh *shard) (err error) {
+	err := s.callOwner(ctx, req.Key, "Claims.Claim", req, &reply, func(sh *shard) (err error) {
 		reply, err = sh.claim(ctx, req)
 		return err
 	})
@@ -148,20 +148,20 @@
 
 // Complete records how a granted attempt ended.
 func (s *Service) Complete(ctx context.Context, c Completion) error {
-	if incarnation, ok := boundTo(c.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(c.Key.Key); ok {
 		return s.completeBound(ctx, incarnation, c)
 	}
 	var ack Ack
-	return s.atOwner(ctx, c.Key, "Claims.Complete", c, &ack, func(sh *shard) error { return sh.complete(c) })
+	return s.callOwner(ctx, c.Key, "Claims.Complete", c, &ack, func(sh *shard) error { return sh.complete(c) })
 }
 
 // Outcome looks a key up without claiming it.
 func (s *Service) Outcome(ctx context.Context, k Key) (Reply, error) {
-	if incarnation, ok := boundTo(k.Key); ok {
+	if incarnation, ok := boundIncarnation(k.Key); ok {
 		return s.lookupBound(ctx, incarnation, k)
 	}
 	var reply Reply
-	err := s.atOwner(ctx, k, "Claims.Outcome", k, &reply, func(sh *shard) (err error) {
+	err := s.callOwner(ctx, k, "Claims.Outcome", k, &reply, func(sh *shard) (err error) {
 		reply, err = sh.lookup(k)
 		return err
 	})
@@ -174,24 +174,24 @@
 	return int(h[0]) % s.opts.Shards
 }
 
-// atOwner runs local when this host owns the key's shard, and calls the owner
+// callOwner runs local when this host owns the key's shard, and calls the owner
 // otherwise. It retries while the owner changes, until ctx ends; without the
 // platform no owner can change, so it gives up then.
-func (s *Service) atOwner(ctx context.Context, k Key, method string, args, reply any, local func(*shard) error) error {
+func (s *Service) callOwner(ctx context.Context, k Key, method string, args, reply any, local func(*shard) error) error {
 	index := s.shardOf(k)
 	for {
-		err := s.tryOwner(ctx, index, method, args, reply, local)
+		err := s.callOwnerOnce(ctx, index, method, args, reply, local)
 		if !errors.Is(err, errNotOwner) {
 			return err
 		}
-		if s.storeFails.Load() || !pause.For(ctx, routeRetry) {
+		if s.storeFailing.Load() || !pause.For(ctx, ownerRetryInterval) {
 			return ErrUnavailable
 		}
 	}
 }
 
-// tryOwner returns errNotOwner when another try may succeed.
-func (s *Service) tryOwner(ctx context.Context, index int, method string, args, reply any, local func(*shard) error) error {
+// callOwnerOnce returns errNotOwner when another try may succeed.
+func (s *Service) callOwnerOnce(ctx context.Context, index int, method string, args, reply any, local func(*shard) error) error {
 	s.mu.Lock()
 	sh, to := s.owned[index], s.owners[index]
 	s.mu.Unlock()
@@ -222,10 +222,10 @@
 func (s *Service) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for index := range s.opts.Shards {
-		wg.Go(func() { s.follow(ctx, index) })
+		wg.Go(func() { s.superviseShard(ctx, index) })
 	}
-	wg.Go(func() { s.lease.run(ctx, s.opts.LeaseTTL/renewFraction) })
-	wg.Go(func() { s.expire(ctx) })
+	wg.Go(func() { s.lease.renewUntilDone(ctx, s.opts.LeaseTTL/renewalsPerTTL) })
+	wg.Go(func() { s.expireUntilDone(ctx) })
 	wg.Wait()
 	handover, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (s *Service) expire(ctx context.Context) {
+func (s *Service) expireUntilDone(ctx context.Context) {
 	for pause.For(ctx, expireInterval) {
 		s.mu.Lock()
 		for _, sh := range s.owned {
@@ -246,24 +246,24 @@
 	}
 }
 
-// follow watches a shard's head key and takes the shard over when nobody holds it.
-func (s *Service) follow(ctx context.Context, index int) {
-	key := headKey(index)
-	seen := uint64(0)
-	backoff := firstBackoff
-	first := true
+// superviseShard watches a shard's head key and takes the shard over when nobody holds it.
+func (s *Service) superviseShard(ctx context.Context, index int) {
+	key := ownerKey(index)
+	version := uint64(0)
+	backoff := initialBackoff
+	immediate := true
 	for ctx.Err() == nil {
-		head, err := s.read(ctx, key, seen, first)
-		s.storeFails.Store(err != nil)
+		head, err := s.readOwnerKey(ctx, key, version, immediate)
+		s.storeFailing.Store(err != nil)
 		if err != nil {
-			first = true
+			immediate = true
 			pause.For(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		backoff, first = firstBackoff, false
-		seen = head.Version
-		s.learn(index, head)
+		backoff, immediate = initialBackoff, false
+		version = head.Version
+		s.recordOwner(index, head)
 		if head.Lease != "" {
 			continue
 		}
@@ -271,14 +271,14 @@
 			return
 		}
 		if term, ok := s.acquire(ctx, index); ok {
-			s.hold(ctx, index, term)
+			s.serveShard(ctx, index, term)
 		}
-		first = true // read the head again now, not after the next change
+		immediate = true // read the head again now, not after the next change
 	}
 }
 
-func (s *Service) read(ctx context.Context, key string, seen uint64, first bool) (kvstore.Entry, error) {
-	if !first {
+func (s *Service) readOwnerKey(ctx context.Context, key string, seen uint64, immediate bool) (kvstore.Entry, error) {
+	if !immediate {
 		ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 		defer cancel()
 		return s.opts.Store.Watch(ctx, key, seen)
@@ -292,7 +292,7 @@
 	return e, err
 }
 
-func (s *Service) learn(index int, head kvstore.Entry) {
+func (s *Service) recordOwner(index int, head kvstore.Entry) {
 	var o owner
 	if len(head.Value) > 0 {
 		if err := json.Unmarshal(head.Value, &o); err != nil {
@@ -309,7 +309,7 @@
 func (s *Service) takeOverDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(len(s.owned)) * takeOverSpread
+	return time.Duration(len(s.owned)) * takeOverDelayPerShard
 }
 
 func (s *Service) acquire(ctx context.Context, index int) (term uint64, ok bool) {
@@ -320,38 +320,38 @@
 	}
 	callCtx, cancel := context.WithTimeout(kvstore.Urgent(ctx), callTimeout)
 	defer cancel()
-	lease, err := s.lease.get(callCtx)
+	lease, err := s.lease.getOrGrant(callCtx)
 	if err != nil {
-		pause.For(ctx, firstBackoff)
+		pause.For(ctx, initialBackoff)
 		return 0, false
 	}
-	e, err := s.opts.Store.Acquire(callCtx, headKey(index), value, lease)
+	e, err := s.opts.Store.Acquire(callCtx, ownerKey(index), value, lease)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrLeaseLost) {
-			s.lease.lost(lease)
+			s.lease.forget(lease)
 		}
-		pause.For(ctx, firstBackoff)
+		pause.For(ctx, initialBackoff)
 		return 0, false
 	}
 	return e.Version, true
 }
 
-// hold owns a shard until another host takes it over or ctx ends.
-func (s *Service) hold(ctx context.Context, index int, term uint64) {
+// serveShard owns a shard until another host takes it over or ctx ends.
+func (s *Service) serveShard(ctx context.Context, index int, term uint64) {
 	sh, err := openShard(ctx, &s.opts, index, term)
 	if err != nil {
 		s.opts.Logger.Warn("Taking a shard of claims over failed", "shard", index, "err", err)
-		s.lease.drop(ctx)
+		s.lease.revokeWithTimeout(ctx)
 		pause.For(ctx, maxBackoff)
 		return
 	}
 	s.opts.Logger.Info("Owning a shard of claims", "shard", index, "term", term)
-	s.own(index, sh)
-	defer s.own(index, nil)
-	holdCtx, cancel := context.WithCancel(ctx)
+	s.setOwned(index, sh)
+	defer s.setOwned(index, nil)
+	shardCtx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
-	watching.Go(func() { s.watchTerm(holdCtx, index, term, cancel) })
-	err = sh.run(holdCtx)
+	watching.Go(func() { s.watchTerm(shardCtx, index, term, cancel) })
+	err = sh.run(shardCtx)
 	cancel()
 	watching.Wait()
 	if ctx.Err() == nil {
@@ -360,24 +360,24 @@
 }
 
 // watchTerm ends the holding when another host has acquired the shard.
-func (s *Service) watchTerm(ctx context.Context, index int, term uint64, lost func()) {
-	seen, failed := term, false
+func (s *Service) watchTerm(ctx context.Context, index int, term uint64, onLost func()) {
+	version, failed := term, false
 	for ctx.Err() == nil {
-		head, err := s.read(ctx, headKey(index), seen, failed)
+		head, err := s.readOwnerKey(ctx, ownerKey(index), version, failed)
 		failed = err != nil
 		if err != nil {
 			pause.For(ctx, maxBackoff)
 			continue
 		}
-		seen = head.Version
+		version = head.Version
 		if head.Version != term {
-			lost()
+			onLost()
 			return
 		}
 	}
 }
 
-func (s *Service) own(index int, sh *shard) {
+func (s *Service) setOwned(index int, sh *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sh == nil {
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -18,11 +18,11 @@
 // errKeysFull refuses a new key when too many are within their retention.
 var errKeysFull = apierr.New(apierr.Overloaded, "too many idempotency keys are kept; this attempt was not run", "retry later")
 
-// entry is an event that waits for its write, and who waits for it.
-type entry struct {
+// queuedEvent is an event that waits for its write, and who waits for it.
+type queuedEvent struct {
 	event  event
 	record *record    // of a new claim; nil for other events
-	result chan error // nil: nobody waits
+	written chan error // nil: nobody waits
 }
 
 // shard is a shard while this host owns it. Its writer goroutine alone uses the
@@ -34,16 +34,16 @@
 
 	mu       sync.Mutex
 	table    *table
-	queue    []entry
-	troubled bool          // the last write failed and has not settled
-	trouble  chan struct{} // closed while troubled
-	ended    bool          // this host writes to the shard no more
+	queue    []queuedEvent
+	writeFailing bool          // the last write failed and has not settled
+	writeFailed  chan struct{} // closed while troubled
+	closed    bool          // this host writes to the shard no more
 }
 
 // openShard takes a shard over under a term.
 func openShard(ctx context.Context, o *Options, index int, term uint64) (*shard, error) {
-	s := &shard{opts: o, wake: make(chan struct{}, 1), table: newTable(), trouble: make(chan struct{})}
-	s.journal = newJournal(o, index, term, s.setTroubled)
+	s := &shard{opts: o, wake: make(chan struct{}, 1), table: newTable(), writeFailed: make(chan struct{})}
+	s.journal = newJournal(o, index, term, s.recordWriteResult)
 	events, err := s.journal.takeOver(ctx)
 	if err != nil {
 		return nil, err
@@ -55,28 +55,28 @@
 	return s, nil
 }
 
-func (s *shard) setTroubled(err error) {
+func (s *shard) recordWriteResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case err != nil && !s.troubled:
-		close(s.trouble)
-	case err == nil && s.troubled:
-		s.trouble = make(chan struct{})
+	case err != nil && !s.writeFailing:
+		close(s.writeFailed)
+	case err == nil && s.writeFailing:
+		s.writeFailed = make(chan struct{})
 	}
-	s.troubled = err != nil
+	s.writeFailing = err != nil
 }
 
 // claim grants a key once its claim is in the store.
 func (s *shard) claim(ctx context.Context, req Request) (Reply, error) {
 	s.mu.Lock()
-	if s.ended {
+	if s.closed {
 		s.mu.Unlock()
 		return Reply{}, errNotOwner
 	}
 	old := s.table.records[hashKey(req.Key)]
 	known := old != nil
-	if s.troubled && (!known || old.state == pending) {
+	if s.writeFailing && (!known || old.state == pending) {
 		// Nobody was granted the key, and nobody will be before the write settles.
 		s.mu.Unlock()
 		return Reply{}, ErrUnavailable
@@ -86,14 +86,14 @@
 		s.mu.Unlock()
 		return reply, nil
 	}
-	trouble := s.trouble
+	writeFailed := s.writeFailed
 	result := make(chan error, 1)
-	s.enqueue(entry{event: r.event(eventClaimed), record: r, result: result})
+	s.enqueue(queuedEvent{event: r.event(eventClaimed), record: r, written: result})
 	s.mu.Unlock()
 	select {
 	case err := <-result:
 		return reply, err
-	case <-trouble:
+	case <-writeFailed:
 		return s.abandon(r, reply)
 	case <-ctx.Done():
 		return s.abandon(r, reply)
@@ -114,7 +114,7 @@
 func (s *shard) lookup(k Key) (Reply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		return Reply{}, errNotOwner
 	}
 	return s.table.lookup(s.opts.Now(), k), nil
@@ -124,17 +124,17 @@
 func (s *shard) complete(c Completion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		return errNotOwner
 	}
 	if e, ok := s.table.complete(c); ok {
-		s.enqueue(entry{event: e})
+		s.enqueue(queuedEvent{event: e})
 	}
 	return nil
 }
 
 // enqueue wakes the writer. The caller holds mu.
-func (s *shard) enqueue(e entry) {
+func (s *shard) enqueue(e queuedEvent) {
 	s.queue = append(s.queue, e)
 	select {
 	case s.wake <- struct{}{}:
@@ -145,43 +145,43 @@
 // run writes the queue in groups until ctx ends or the shard is lost. It writes
 // what is queued before it returns, if the store answers in time.
 func (s *shard) run(ctx context.Context) error {
-	writes, stop := lingering(ctx, callTimeout)
+	writeCtx, stop := withGracePeriod(ctx, callTimeout)
 	defer stop()
 	for ctx.Err() == nil {
-		s.next(ctx)
-		wrote, err := s.commit(writes)
+		s.waitForWork(ctx)
+		wrote, err := s.commitGroup(writeCtx)
 		if err != nil {
-			s.end()
+			s.close()
 			return err
 		}
 		if wrote {
 			pause.For(ctx, s.opts.CommitInterval)
 		}
 	}
-	_, err := s.commit(writes)
-	s.end()
+	_, err := s.commitGroup(writeCtx)
+	s.close()
 	return err
 }
 
-// lingering returns a context that ends some time after ctx.
-func lingering(ctx context.Context, extra time.Duration) (context.Context, func()) {
-	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(extra, cancel) })
-	return out, func() {
+// withGracePeriod returns a context that ends some time after ctx.
+func withGracePeriod(ctx context.Context, grace time.Duration) (context.Context, func()) {
+	graceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(grace, cancel) })
+	return graceCtx, func() {
 		stop()
 		cancel()
 	}
 }
 
-// next waits for something to write. Ends of attempts alone wait longer than
+// waitForWork waits for something to write. Ends of attempts alone wait longer than
 // claims, for which a caller waits.
-func (s *shard) next(ctx context.Context) {
-	late := time.NewTimer(s.opts.CompletionDelay)
-	defer late.Stop()
-	for !s.claimsQueued() {
+func (s *shard) waitForWork(ctx context.Context) {
+	completionTimer := time.NewTimer(s.opts.CompletionDelay)
+	defer completionTimer.Stop()
+	for !s.hasQueuedClaim() {
 		select {
 		case <-s.wake:
-		case <-late.C:
+		case <-completionTimer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -189,7 +189,7 @@
 	}
 }
 
-func (s *shard) claimsQueued() bool {
+func (s *shard) hasQueuedClaim() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.queue {
@@ -200,9 +200,9 @@
 	return false
 }
 
-// commit writes one group; wrote is false when there was none.
-func (s *shard) commit(ctx context.Context) (wrote bool, err error) {
-	group := s.take()
+// commitGroup writes one group; wrote is false when there was none.
+func (s *shard) commitGroup(ctx context.Context) (wrote bool, err error) {
+	group := s.takeGroup()
 	if len(group) == 0 {
 		return false, nil
 	}
@@ -212,20 +212,20 @@
 	}
 	err = s.journal.append(ctx, events)
 	s.opts.commits.Inc()
-	if errors.Is(err, errFull) {
-		s.refuse(group)
+	if errors.Is(err, errLogFull) {
+		s.refuseGroup(group)
 		return true, nil
 	}
-	s.grant(group, err)
+	s.resolveGroup(group, err)
 	return true, err
 }
 
-// take removes a group from the queue, without the claims that nobody waits
+// takeGroup removes a group from the queue, without the claims that nobody waits
 // for any more.
-func (s *shard) take() []entry {
+func (s *shard) takeGroup() []queuedEvent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.queue = slices.DeleteFunc(s.queue, func(e entry) bool {
+	s.queue = slices.DeleteFunc(s.queue, func(e queuedEvent) bool {
 		stale := e.record != nil && e.record.abandoned
 		if stale {
 			delete(s.table.records, e.record.hash)
@@ -238,8 +238,8 @@
 	return group
 }
 
-// grant tells the waiting callers that their claims are in the store, or not.
-func (s *shard) grant(group []entry, err error) {
+// resolveGroup tells the waiting callers that their claims are in the store, or not.
+func (s *shard) resolveGroup(group []queuedEvent, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range group {
@@ -247,40 +247,40 @@
 			continue
 		}
 		if err != nil {
-			e.result <- ErrUnavailable
+			e.written <- ErrUnavailable
 			continue
 		}
 		s.opts.grants.Inc()
 		e.record.state = claimed
 		if e.record.abandoned {
 			delete(s.table.records, e.record.hash)
-			s.enqueue(entry{event: e.record.event(eventReleased)})
+			s.enqueue(queuedEvent{event: e.record.event(eventReleased)})
 		}
-		e.result <- nil
+		e.written <- nil
 	}
 }
 
-// refuse drops a group that the log has no room for. Ends of attempts that are
+// refuseGroup drops a group that the log has no room for. Ends of attempts that are
 // dropped leave their keys unknown after a change of owner.
-func (s *shard) refuse(group []entry) {
+func (s *shard) refuseGroup(group []queuedEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range group {
 		if e.record != nil {
 			delete(s.table.records, e.record.hash)
-			e.result <- errKeysFull
+			e.written <- errKeysFull
 		}
 	}
 }
 
-// end refuses whatever still waits and whatever still comes.
-func (s *shard) end() {
+// close refuses whatever still waits and whatever still comes.
+func (s *shard) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.closed = true
 	for _, e := range s.queue {
 		if e.record != nil {
-			e.result <- ErrUnavailable
+			e.written <- ErrUnavailable
 		}
 	}
 	s.queue = nil
--- a/claims/table.go
+++ b/claims/table.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// lateCompletion is how long after its end an attempt's completion may
+	// completionGrace is how long after its end an attempt's completion may
 	// still arrive before its key counts as unknown.
-	lateCompletion = 5 * time.Second
+	completionGrace = 5 * time.Second
 
-	maxKeptAnswers = 4096 // answers with a body that a table keeps
+	maxKeptBodies = 4096 // answers with a body that a table keeps
 )
 
 // keyHash identifies a key in memory and in the store.
@@ -50,7 +50,7 @@
 // not safe for concurrent use.
 type table struct {
 	records map[keyHash]*record
-	kept    []*record // records with a body, oldest first
+	withBody    []*record // records with a body, oldest first
 }
 
 func newTable() *table { return &table{records: make(map[keyHash]*record)} }
@@ -71,7 +71,7 @@
 	case r.state == claimed && r.attempt == hashAttempt(req.Attempt):
 		return Reply{Verdict: Granted}, r
 	}
-	return r.reply(now), r
+	return r.replyAt(now), r
 }
 
 // lookup tells what is known about a key.
@@ -80,17 +80,17 @@
 	if r == nil {
 		return Reply{Verdict: Absent}
 	}
-	return r.reply(now)
+	return r.replyAt(now)
 }
 
-func (r *record) reply(now time.Time) Reply {
+func (r *record) replyAt(now time.Time) Reply {
 	switch r.state {
 	case done:
 		return Reply{Verdict: Done, Answer: r.answer}
 	case unknown:
 		return Reply{Verdict: Unknown}
 	}
-	if now.Before(r.until.Add(lateCompletion)) {
+	if now.Before(r.until.Add(completionGrace)) {
 		return Reply{Verdict: Running}
 	}
 	return Reply{Verdict: Unknown}
@@ -119,28 +119,28 @@
 		return r.event(eventUnknown), true
 	}
 	r.state, r.answer = done, c.Answer
-	t.keep(r)
+	t.keepBody(r)
 	return r.event(eventDone), true
 }
 
-// keep bounds the memory used by bodies.
-func (t *table) keep(r *record) {
+// keepBody bounds the memory used by bodies.
+func (t *table) keepBody(r *record) {
 	if len(r.answer.Body) == 0 {
 		return
 	}
-	t.kept = append(t.kept, r)
-	if len(t.kept) > maxKeptAnswers {
-		oldest := t.kept[0]
+	t.withBody = append(t.withBody, r)
+	if len(t.withBody) > maxKeptBodies {
+		oldest := t.withBody[0]
 		oldest.answer.Body, oldest.answer.Kept = nil, false
-		t.kept[0] = nil
-		t.kept = t.kept[1:]
+		t.withBody[0] = nil
+		t.withBody = t.withBody[1:]
 	}
 }
 
 // expire forgets the records that ended before then.
-func (t *table) expire(then time.Time) {
+func (t *table) expire(cutoff time.Time) {
 	for h, r := range t.records {
-		if r.state != pending && r.until.Before(then) {
+		if r.state != pending && r.until.Before(cutoff) {
 			delete(t.records, h)
 		}
 	}
