--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkRecordMemory gives the heap bytes that an owner keeps for each key,
-// without its answer's body, and the time to replay one from the log.
+// BenchmarkRecordMemory reports the heap bytes that an owner uses for each key,
+// without the answer's body, and the time to replay a key's events from the log.
 func BenchmarkRecordMemory(b *testing.B) {
 	const keys = 100_000
 	for b.Loop() {
--- a/claims/bound.go
+++ b/claims/bound.go
@@ -8,17 +8,20 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
+// maxBoundKeys limits the records of bound keys that a host keeps in memory.
 const maxBoundKeys = 100_000
 
-// boundIncarnation returns the incarnation that a key is bound to.
+// boundIncarnation returns the incarnation that a key is bound to; ok is false
+// for a key without the prefix of an incarnation.
 func boundIncarnation(key string) (incarnation string, ok bool) {
 	incarnation, _, found := strings.Cut(key, boundSeparator)
 	dot := strings.LastIndex(incarnation, ".")
 	return incarnation, found && dot > 0 && len(incarnation)-dot-1 == 2*incarnationBytes
 }
 
-// claimBound claims a key at the incarnation it is bound to. When that has
-// ended, its memory of the key is gone and the key is unknown for good.
+// claimBound claims a key at the host of the incarnation it is bound to. The
+// records of an incarnation that has ended are lost, so the verdict on its keys
+// is Unknown from then on.
 func (s *Service) claimBound(ctx context.Context, incarnation string, req Request) (Reply, error) {
 	if incarnation == s.incarnation {
 		return s.claimLocal(req)
@@ -70,8 +73,8 @@
 	return reply, err
 }
 
-// callBound calls the host of an incarnation; found is false when no listed
-// host has its name.
+// callBound calls the host of an incarnation. found is false when membership
+// lists no entry host of its name.
 func (s *Service) callBound(ctx context.Context, incarnation, method string, args, reply any) (found bool, err error) {
 	name := incarnation[:strings.LastIndex(incarnation, ".")]
 	hosts := s.opts.Membership.View().Select(func(h kvstore.Host) bool {
@@ -86,13 +89,13 @@
 	return true, nil
 }
 
-// RegisterPeer offers the service to the other entry hosts.
+// RegisterPeer registers the methods that other entry hosts call with p.
 func (s *Service) RegisterPeer(p *peer.Server) error { return p.Register("Claims", &endpoint{s}) }
 
 // endpoint serves other entry hosts' calls over net/rpc.
 type endpoint struct{ service *Service }
 
-// Claim grants a key that this host decides on.
+// Claim claims a key that is bound to this host or whose shard it owns.
 func (e *endpoint) Claim(req Request, reply *Reply) error {
 	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
 		return e.answerBound(incarnation, reply, func() (Reply, error) { return e.service.claimLocal(req) })
@@ -108,7 +111,7 @@
 	return err
 }
 
-// Complete records the end of an attempt.
+// Complete records the outcome of an attempt.
 func (e *endpoint) Complete(c Completion, _ *Ack) error {
 	if incarnation, ok := boundIncarnation(c.Key.Key); ok {
 		if incarnation != e.service.incarnation {
@@ -123,7 +126,7 @@
 	return sh.complete(c)
 }
 
-// Outcome looks a key up.
+// Outcome looks a key up without claiming it.
 func (e *endpoint) Outcome(k Key, reply *Reply) error {
 	if incarnation, ok := boundIncarnation(k.Key); ok {
 		return e.answerBound(incarnation, reply, func() (Reply, error) {
@@ -139,7 +142,8 @@
 	return err
 }
 
-// answerBound answers for this incarnation; a key of an earlier one is unknown.
+// answerBound calls local if incarnation is the current one of this host, and
+// otherwise sets the verdict to Unknown.
 func (e *endpoint) answerBound(incarnation string, reply *Reply, local func() (Reply, error)) error {
 	if incarnation != e.service.incarnation {
 		*reply = Reply{Verdict: Unknown}
@@ -150,6 +154,7 @@
 	return err
 }
 
+// shard returns the shard of a key, or nil when this host does not own it.
 func (e *endpoint) shard(k Key) *shard {
 	e.service.mu.Lock()
 	defer e.service.mu.Unlock()
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,10 +1,12 @@
 // Package claims records the idempotency keys of non-idempotent requests, so
-// that a key is executed at most once, whichever entry hosts its caller tries.
+// that the request of a key is executed at most once, whichever entry hosts its
+// caller tries. Package routing calls it before and after each such request.
 //
 // A key hashes to a shard. One entry host owns a shard under a lease of the
-// platform and writes the shard's claims in groups with compare-and-swap, which
-// fences an earlier owner. Keys bound to one entry host's incarnation need no
-// platform: that host's memory alone decides, and they end with it.
+// platform, keeps the shard's records in memory and appends them in groups to a
+// log in the platform's store. Each append is a compare-and-swap, which fences
+// earlier owners. Keys bound to one entry host's incarnation need no platform:
+// their records exist only in that host's memory and are lost when it ends.
 package claims
 
 import (
@@ -26,22 +28,22 @@
 // Request asks for the right to execute a key once.
 type Request struct {
 	Key         Key
-	Fingerprint uint64    // of method, path and body: a key names one request
-	Attempt     string    // names this claim; unique
-	Until       time.Time // by then the request has ended, one way or another
+	Fingerprint uint64    // hash of method, path and body; a key may not be reused for another request
+	Attempt     string    // unique ID of this claim
+	Until       time.Time // deadline by which the request has ended, whatever its outcome
 }
 
-// Verdict answers a claim.
+// Verdict is the result of a claim or a look-up.
 type Verdict int
 
-// The verdicts.
+// Verdicts of claims and look-ups.
 const (
-	Absent   Verdict = iota // no claim is known
+	Absent   Verdict = iota // there is no claim of the key
 	Granted                 // this attempt alone may execute the request
 	Running                 // another attempt holds the claim and has time left
 	Done                    // the request was executed
-	Unknown                 // an attempt held the claim and its end is not known
-	Mismatch                // the key belongs to another request
+	Unknown                 // an attempt held the claim and its outcome is not known
+	Mismatch                // the key was claimed with another fingerprint
 )
 
 // Answer is the recorded answer of an executed request.
@@ -49,27 +51,27 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	Kept        bool // Body is the whole body; false: it was large, or its host is gone
+	Kept        bool // Body is complete; false: the body was too large, evicted or lost with its host
 }
 
-// Reply answers a claim or a look-up.
+// Reply is the reply to a claim or a look-up.
 type Reply struct {
 	Verdict Verdict
-	Answer  Answer // when Done
+	Answer  Answer // set when Verdict is Done
 }
 
-// Completion tells how a granted attempt ended.
+// Completion reports how a granted attempt ended.
 type Completion struct {
 	Key     Key
 	Attempt string
-	NotRun  bool // nothing was executed: the key is free again
-	Unknown bool // it may or may not have been executed
+	NotRun  bool // the request was not executed; the key may be claimed again
+	Unknown bool // the request may or may not have been executed
 	Answer  Answer
 }
 
-// Ack answers a message that has no other answer.
+// Ack is the empty reply to a Completion.
 type Ack struct {
-	Taken bool // gob needs a field
+	Taken bool // unused; gob cannot encode a struct without exported fields
 }
 
 // ErrUnavailable means that no claim was granted because the key's owner or
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -31,11 +31,12 @@
 
 func (s staticView) View() *membership.View { return s.view }
 
-// host is one entry host's claims, with its own faulty way to the store.
+// host is the claims service of one entry host, which reaches the store through
+// a fault-injecting proxy of its own.
 type host struct {
 	service *claims.Service
 	proxy   *faultproxy.Proxy
-	stop    func() // hands its shards over
+	stop    func() // ends Run, which hands the shards over
 }
 
 type cluster struct {
@@ -108,7 +109,7 @@
 	}
 }
 
-// claim tries a key once at a host.
+// claim makes one claim of a key at a host.
 func (h *host) claim(key, attempt string, wait time.Duration) (claims.Verdict, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -116,7 +117,7 @@
 	return reply.Verdict, err
 }
 
-// mustClaim retries until the host answers.
+// mustClaim retries a claim until the host returns a verdict.
 func (h *host) mustClaim(t *testing.T, key, attempt string) claims.Verdict {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -128,7 +129,8 @@
 	return claims.Absent
 }
 
-// mustGrant retries while an abandoned attempt is being cleared away.
+// mustGrant retries a claim until it is granted: the key may still be held by an
+// abandoned attempt whose release is not complete.
 func (h *host) mustGrant(t *testing.T, key, attempt string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -139,17 +141,20 @@
 	t.Fatalf("key %s was never granted", key)
 }
 
-// Every host tries every key again and again, while the shards' owner is cut
-// off, silenced, or loses answers after their effect, and others take over.
+// Guards against two grants of one key across changes of owner. All hosts claim
+// the same keys repeatedly, while one host after the other is cut off from the
+// store, gets no more replies on open connections, loses replies to writes that
+// took effect, or has its writes delayed beyond the lease, so that other hosts
+// take its shards over.
 func TestKeyIsGrantedOnceUnderFaults(t *testing.T) {
 	const (
-		faultKinds   = 4
-		newKeyInterval   = 10 * time.Millisecond // a new key comes up this often
-		recentKeys   = 200                   // and is tried until so many newer ones came up
-		minGrantedKeys = 50                    // granted
+		faultKinds     = 4
+		newKeyInterval = 10 * time.Millisecond // interval between new keys
+		recentKeys     = 200                   // number of newest keys that are claimed
+		minGrantedKeys = 50
 	)
 	c := startCluster(t, 3, func(o *claims.Options) {
-		o.Segments, o.EventsPerSegment = 512, 8 // often on to the next segment
+		o.Segments, o.EventsPerSegment = 512, 8 // small segments, so that the log advances to the next one often
 	})
 	c.hosts[0].mustGrant(t, "first", "a")
 	began := time.Now()
@@ -189,23 +194,24 @@
 	c.hosts[2].mustGrant(t, "last", "a")
 }
 
-// injectFault puts the nth kind of fault on a host's way to the store.
+// injectFault injects the nth kind of fault between a host and the store.
 func injectFault(p *faultproxy.Proxy, n int) {
 	switch n % 4 {
-	case 0: // answers lost after their effect
+	case 0: // replies lost after the call took effect
 		p.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
 		p.CutOpen()
-	case 1: // open connections silent for good
+	case 1: // open connections stop delivering replies
 		p.FreezeOpen(faultproxy.Down)
 	case 2: // writes arrive after the lease has lapsed
 		p.Set(faultproxy.Up, faultproxy.Fault{CutAfter: faultproxy.NoCut, Delay: 2 * leaseTTL})
-	case 3:
+	case 3: // connections refused
 		p.Refuse(true)
 		p.CutOpen()
 	}
 }
 
-// Without the platform a plain key is refused soon, and is free afterwards.
+// Without the platform, claims of unbound keys must fail before the caller's
+// timeout, and a refused key must be claimable once the platform is back.
 func TestUnboundKeysAreRefusedWithoutThePlatform(t *testing.T) {
 	h := startCluster(t, 1).hosts[0]
 	h.mustGrant(t, "x", "a")
@@ -214,7 +220,7 @@
 	verdict, err := h.claim("during", "a", 100*time.Millisecond)
 	must.Error(t, err)
 	must.Eq(t, claims.Absent, verdict)
-	for err = nil; err == nil; time.Sleep(time.Millisecond) { // until the first claim's write is given up
+	for err = nil; err == nil; time.Sleep(time.Millisecond) { // until the failure of the first claim's write is recorded
 		verdict, err = h.claim("during", "b", testTimeout)
 		must.NotEq(t, claims.Granted, verdict)
 		must.Less(t, testTimeout/2, time.Since(started))
@@ -250,22 +256,23 @@
 	}
 }
 
-// A ring of 4 segments of 2 claims takes 8 keys within their retention. Then
-// new keys are refused, also by the next owner, and nothing is forgotten.
+// A ring of 4 segments of 2 claims takes 8 keys within their retention. After
+// that, new keys must be refused, also by the next owner, and the records of the
+// 8 keys must be kept.
 func TestFullLogRefusesNewKeys(t *testing.T) {
-	const room = 8
+	const capacity = 8           // keys
 	var clockOffset atomic.Int64 // added to the clock
 	c := startCluster(t, 2, func(o *claims.Options) {
 		o.Shards, o.Segments, o.EventsPerSegment = 1, 4, 2
 		o.Now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	})
-	for i := range room {
+	for i := range capacity {
 		c.hosts[i%2].mustGrant(t, fmt.Sprint("k", i), "a")
 	}
 	for i, h := range c.hosts {
 		_, err := h.claim("more", "a", testTimeout)
 		must.Eq(t, apierr.Overloaded, apierr.KindOf(err))
-		for k := range room {
+		for k := range capacity {
 			must.Eq(t, claims.Running, h.mustClaim(t, fmt.Sprint("k", k), "b"))
 		}
 		if i == 0 {
@@ -276,7 +283,8 @@
 	c.hosts[1].mustGrant(t, "more", "b")
 }
 
-// A key bound to an entry host needs no platform, and ends with that host.
+// Claims of a key bound to an entry host need no platform. The verdict on a key of
+// an earlier incarnation is Unknown.
 func TestBoundKeysWorkWithoutThePlatform(t *testing.T) {
 	c := startCluster(t, 2)
 	for _, h := range c.hosts {
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	maxParallelLoads  = 16
-	callTimeout   = time.Second
-	initialBackoff  = 20 * time.Millisecond
-	maxBackoff    = time.Second
+	maxParallelLoads = 16
+	callTimeout      = time.Second
+	initialBackoff   = 20 * time.Millisecond
+	maxBackoff       = time.Second
 	maxFenceAttempts = 8
 )
 
 var (
 	// errFenced means that another host has taken the shard over.
-	errFenced = errors.New("claims: another host owns the shard now; ask it")
-	// errLogFull means that the log's ring holds no segment old enough to reuse.
-	errLogFull = errors.New("claims: the log is full of keys within their retention; raise Segments or lower Retention")
+	errFenced = errors.New("claims: another host has taken the shard over; send the call to that host")
+	// errLogFull means that every segment of the ring holds keys within their
+	// retention, so that none can be overwritten.
+	errLogFull = errors.New("claims: every segment of the log holds keys within their retention; raise Segments or lower Retention")
 )
 
 // journal is a shard's log: a ring of segments in the store, each under its own
-// key, of which only the newest is written to. Each write is a compare-and-swap
-// on the version that this owner saw last. It is not safe for concurrent use.
+// key. Events are appended to the newest segment only. Each write is a
+// compare-and-swap on the slot's version last read or written by this owner.
+// It is not safe for concurrent use.
 type journal struct {
-	opts     *Options
-	shard    int
-	term     uint64
-	versions []uint64    // of each slot of the ring
-	newest   []time.Time // newest event of each slot; zero: none
-	current     segment     // as last written
-	onWriteResult func(error) // told of every failed call, and nil when a write settled
+	opts          *Options
+	shard         int
+	term          uint64
+	versions      []uint64    // store version of each slot; 0: never written
+	newest        []time.Time // time of the newest event in each slot; zero: no events
+	current       segment     // newest segment, as last written
+	onWriteResult func(error) // called with the error of each failed write, and with nil after a successful one
 }
 
 func newJournal(o *Options, shard int, term uint64, onWriteResult func(error)) *journal {
@@ -52,12 +54,14 @@
 
 func (j *journal) slotOf(seq uint64) int { return int(seq % uint64(j.opts.Segments)) }
 
-// takeOver fences every earlier owner and returns the log's events in order.
+// takeOver fences every earlier owner and returns the log's events, oldest
+// first.
 //
 // An earlier owner can write only to the newest segment or to the slot after
-// it. Both are rewritten here, at the versions that were read, before anything
-// is decided; so its next write fails, and no event of its is missed. Nothing
-// is lost or used up, so a full log can be taken over too.
+// it. takeOver rewrites both at the versions that it read, before the new owner
+// decides on any claim. The earlier owner's next write therefore fails, and
+// takeOver returns every event that it wrote. The rewrites keep the events and
+// use no further slot, so a full log can be taken over too.
 func (j *journal) takeOver(ctx context.Context) ([]event, error) {
 	for range maxFenceAttempts {
 		segments, err := j.load(ctx)
@@ -73,11 +77,11 @@
 		}
 		return eventsInOrder(segments), nil
 	}
-	return nil, errors.New("claims: the shard's log kept changing; retry later")
+	return nil, errors.New("claims: the shard's log changed during every attempt to take it over; retry later")
 }
 
-// load reads the ring in the order in which its segments are written, up to
-// the first one that was never written: none after it was, either.
+// load reads the ring in the order in which its segments are written. It stops
+// at the first slot that was never written, as no later slot was written either.
 func (j *journal) load(ctx context.Context) ([]segment, error) {
 	ctx = kvstore.Urgent(ctx)
 	segments := make([]segment, j.opts.Segments)
@@ -100,8 +104,8 @@
 	return segments, nil
 }
 
-// loadRange reads the slots of the sequence numbers from first up to, without,
-// end. It returns false when one of them was never written.
+// loadRange reads the slots of the sequence numbers from first to end-1 in
+// parallel. more is false when one of them was never written.
 func (j *journal) loadRange(ctx context.Context, segments []segment, first, end int) (more bool, err error) {
 	var group errgroup.Group
 	for seq := first; seq < end; seq++ {
@@ -134,7 +138,8 @@
 	return err
 }
 
-// fence rewrites the newest segment and the slot after it, with what they hold.
+// fence rewrites the newest segment and the slot after it under this owner's
+// term, without changing their events.
 func (j *journal) fence(ctx context.Context, segments []segment) error {
 	last := segment{}
 	for _, s := range segments {
@@ -166,6 +171,8 @@
 	return nil
 }
 
+// checkSlotReusable returns errLogFull if the slot of seq still holds an event
+// within its retention.
 func (j *journal) checkSlotReusable(seq uint64) error {
 	newest := j.newest[j.slotOf(seq)]
 	if !newest.IsZero() && j.opts.Now().Sub(newest) < j.opts.Retention {
@@ -189,9 +196,10 @@
 	return events
 }
 
-// append writes events to the log. It returns nil once they are in the store,
-// however often calls fail; errFenced when another host has taken over; errFull;
-// or ctx's error, after which the journal must not be used again.
+// append writes events to the log and retries failed writes. It returns nil
+// once the events are in the store, errFenced when another host has taken the
+// shard over, errLogFull when no segment can be reused, or ctx's error, after
+// which the journal must not be used again.
 func (j *journal) append(ctx context.Context, events []event) error {
 	next := j.current
 	if len(next.events)+len(events) > j.opts.EventsPerSegment && len(next.events) > 0 {
@@ -223,9 +231,10 @@
 	}
 }
 
-// writeSegment writes a segment to its slot once. When the write's answer is lost it reads back;
-// an error other than ErrConflict leaves open whether the write took effect, and
-// the same segment must be settled again before any other.
+// writeSegment writes a segment to its slot with one compare-and-swap. If that
+// fails, it reads the slot back to find out whether the write took effect. After
+// an error other than ErrConflict the write may have taken effect or not, and the
+// same segment must be written again before any other.
 func (j *journal) writeSegment(ctx context.Context, slot int, s segment) error {
 	ctx, cancel := context.WithTimeout(kvstore.Urgent(ctx), callTimeout)
 	defer cancel()
--- a/claims/journal_test.go
+++ b/claims/journal_test.go
@@ -11,12 +11,12 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// After a take-over the earlier owner's next write fails, whichever segments
-// the two of them write to.
+// After a take-over the earlier owner's next write must fail, whichever segments
+// the two owners write to. Otherwise both could grant the same key.
 func TestEarlierOwnerIsFenced(t *testing.T) {
 	const perSegment = 4
 	for _, c := range []struct {
-		name       string
+		name           string
 		later, earlier int // events that the later and then the earlier owner append
 	}{
 		{"same segment", 1, 1},
--- a/claims/lease.go
+++ b/claims/lease.go
@@ -12,11 +12,13 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
+// ownerKey returns the store key that names a shard's owner.
 func ownerKey(shard int) string { return fmt.Sprintf("claims/%d/owner", shard) }
 
 // leaseManager holds the one lease under which a host owns shards. The lease
-// only decides who takes a shard over; what a late owner writes is refused by
-// the journal, not by the lease. It is safe for concurrent use.
+// only decides which host takes a shard over. Writes of an owner whose lease has
+// lapsed are refused by the journal's compare-and-swap, not by the lease. It is
+// safe for concurrent use.
 type leaseManager struct {
 	store kvstore.Store
 	ttl   time.Duration
@@ -25,7 +27,8 @@
 	lease kvstore.Lease // empty ID: none
 }
 
-// getOrGrant returns the lease, and asks for one when there is none.
+// getOrGrant returns the lease, and requests one from the store when there is
+// none.
 func (k *leaseManager) getOrGrant(ctx context.Context) (kvstore.Lease, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -39,7 +42,7 @@
 	return lease, err
 }
 
-// forget forgets a lease that has lapsed.
+// forget drops a lease that has lapsed, so that getOrGrant requests a new one.
 func (k *leaseManager) forget(lease kvstore.Lease) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -48,7 +51,7 @@
 	}
 }
 
-// renewUntilDone renews the lease until ctx ends.
+// renewUntilDone renews the lease at each interval until ctx ends.
 func (k *leaseManager) renewUntilDone(ctx context.Context, interval time.Duration) {
 	for pause.For(ctx, interval) {
 		k.mu.Lock()
@@ -66,13 +69,14 @@
 	}
 }
 
-// revokeWithTimeout gives the lease up, so that others may take its shards at once.
+// revokeWithTimeout calls revoke and waits for at most callTimeout.
 func (k *leaseManager) revokeWithTimeout(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.revoke(ctx)
 }
 
+// revoke ends the lease, so that other hosts can take its shards over at once.
 func (k *leaseManager) revoke(ctx context.Context) {
 	k.mu.Lock()
 	lease := k.lease
--- a/claims/segment.go
+++ b/claims/segment.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// eventKind tells what an event says about a key.
+// eventKind is the transition of a key that an event records. Its values are
+// stored.
 type eventKind uint8
 
 const (
@@ -18,30 +19,31 @@
 	eventDone
 )
 
-// event is one line of a shard's log.
+// event is one entry of a shard's log.
 type event struct {
 	kind        eventKind
 	status      uint16
-	until       time.Time // of the attempt, to the millisecond
+	until       time.Time // deadline of the attempt; stored to the millisecond
 	hash        keyHash
 	attempt     uint64
 	fingerprint uint64
 }
 
-// segment is one value of a shard's log in the store. Term and Commits make
-// the bytes of every write different, so that a write whose answer was lost is
-// recognised when it is read back.
+// segment is one value of a shard's log in the store. term and commits make
+// the bytes of each write unique, so that reading the value back shows whether a
+// write whose reply was lost took effect.
 type segment struct {
-	term    uint64 // of the owner that wrote it
-	seq     uint64 // place in the log; 0: none
-	commits uint64 // writes of this segment by its owner
-	newest  time.Time
+	term    uint64    // of the owner that wrote it
+	seq     uint64    // sequence number in the log, from 1; 0: never written
+	commits uint64    // number of writes of this segment
+	newest  time.Time // time of the newest event
 	events  []event
 }
 
 const segmentFormat = 1
 
-// wireSegment and wireEvent are the fixed-size forms in the store.
+// wireSegment is the fixed-size header of a segment in the store; Events
+// wireEvents follow it.
 type wireSegment struct {
 	Format       uint8
 	Term         uint64
@@ -51,6 +53,7 @@
 	Events       uint32
 }
 
+// wireEvent is the fixed-size form of an event in the store.
 type wireEvent struct {
 	Kind        uint8
 	Status      uint16
@@ -60,7 +63,7 @@
 	Fingerprint uint64
 }
 
-// encode returns the segment's bytes.
+// encode returns the segment as it is stored.
 func (s segment) encode() []byte {
 	head := wireSegment{
 		Format: segmentFormat, Term: s.term, Seq: s.seq, Commits: s.commits,
@@ -77,7 +80,7 @@
 	return out
 }
 
-// decodeSegment reads the bytes of encode.
+// decodeSegment decodes the output of encode.
 func decodeSegment(data []byte) (segment, error) {
 	in := bytes.NewReader(data)
 	var head wireSegment
--- a/claims/service.go
+++ b/claims/service.go
@@ -22,7 +22,7 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultShards           = 2
 	DefaultSegments         = 256
@@ -34,17 +34,17 @@
 )
 
 const (
-	renewalsPerTTL    = 3 // a lease is renewed this often in its TTL
-	takeOverDelayPerShard   = 300 * time.Millisecond
-	ownerRetryInterval       = 50 * time.Millisecond
-	expireInterval   = time.Minute
-	watchTimeout     = 15 * time.Second // the store answers a watch within 10 s
-	incarnationBytes = 8
-	boundSeparator   = "~"
+	renewalsPerTTL        = 3
+	takeOverDelayPerShard = 300 * time.Millisecond // for each shard already owned
+	ownerRetryInterval    = 50 * time.Millisecond
+	expireInterval        = time.Minute
+	watchTimeout          = 15 * time.Second // the store answers a watch within 10 s
+	incarnationBytes      = 8
+	boundSeparator        = "~"
 )
 
-// Options are what a Service needs. Shards, Segments and EventsPerSegment must
-// be the same on every entry host.
+// Options configures a Service. Shards, Segments and EventsPerSegment must be
+// the same on every entry host.
 type Options struct {
 	Now              func() time.Time // nil: time.Now
 	Logger           *log.Logger      // nil: nothing is logged
@@ -53,11 +53,11 @@
 	Peers            peer.Caller
 	Membership       membership.Source
 	Shards           int
-	Segments         int           // values in the ring of a shard's log
-	EventsPerSegment int           // two events a key
-	Retention        time.Duration // how long a key is kept at least
-	CommitInterval   time.Duration // least time between two writes of a shard
-	CompletionDelay  time.Duration // longest wait of an attempt's end for a write
+	Segments         int           // number of values in the ring of a shard's log
+	EventsPerSegment int           // maximum; each key takes two events
+	Retention        time.Duration // minimum time for which a key is kept
+	CommitInterval   time.Duration // minimum time between two writes of a shard
+	CompletionDelay  time.Duration // maximum time for which a completion waits for a claim to be written with
 	LeaseTTL         time.Duration
 
 	commits *metrics.Counter
@@ -87,7 +87,7 @@
 	}
 }
 
-// owner is the value of a shard's head key.
+// owner is the value of a shard's owner key.
 type owner struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"` // IP:port of its peer listener
@@ -95,23 +95,23 @@
 }
 
 // Service claims keys for the requests of this entry host, and for those of
-// others whose keys' shards it owns. It is safe for concurrent use.
+// other entry hosts whose keys' shards it owns. It is safe for concurrent use.
 type Service struct {
 	opts        Options
 	incarnation string
 	lease       leaseManager
 
-	storeFailing atomic.Bool // the last read of a shard's head failed
+	storeFailing atomic.Bool // the last read of an owner key failed
 
 	mu     sync.Mutex
 	owned  map[int]*shard
-	owners map[int]owner // as last read
+	owners map[int]owner // by shard, as last read from the store
 
 	boundMu sync.Mutex
 	bound   *table // keys bound to this incarnation
 }
 
-// New returns a service. It owns no shard until Run runs.
+// New returns a service. It owns no shards before Run is called.
 func New(o Options) *Service {
 	o = o.withDefaults()
 	s := &Service{
@@ -127,13 +127,14 @@
 	return s
 }
 
-// Incarnation returns the prefix of keys bound to this process: a caller that
-// sends "<incarnation>~<its own key>" needs no platform for its claim.
+// Incarnation returns the prefix of keys bound to this process. A claim of a key
+// of the form "<incarnation>~<caller's key>" needs no platform.
 func (s *Service) Incarnation() string { return s.incarnation }
 
-// Claim asks for the right to execute a key. It returns Granted for one attempt
-// of a key only, until that attempt is completed as not run. An error means
-// that nothing was granted. It waits for a change of owner while ctx lasts.
+// Claim requests the right to execute a key's request. It returns Granted to one
+// attempt only, until that attempt is completed as not run. An error means that
+// nothing was granted. While the shard's owner changes, Claim retries until ctx
+// ends.
 func (s *Service) Claim(ctx context.Context, req Request) (Reply, error) {
 	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
 		return s.claimBound(ctx, incarnation, req)
@@ -175,8 +176,9 @@
 }
 
 // callOwner runs local when this host owns the key's shard, and calls the owner
-// otherwise. It retries while the owner changes, until ctx ends; without the
-// platform no owner can change, so it gives up then.
+// otherwise. It retries while the owner changes, until ctx ends. While the
+// platform cannot be reached the owner cannot change, so callOwner returns
+// ErrUnavailable without retrying.
 func (s *Service) callOwner(ctx context.Context, k Key, method string, args, reply any, local func(*shard) error) error {
 	index := s.shardOf(k)
 	for {
@@ -190,7 +192,8 @@
 	}
 }
 
-// callOwnerOnce returns errNotOwner when another try may succeed.
+// callOwnerOnce makes one attempt of callOwner. It returns errNotOwner when a
+// retry may succeed.
 func (s *Service) callOwnerOnce(ctx context.Context, index int, method string, args, reply any, local func(*shard) error) error {
 	s.mu.Lock()
 	sh, to := s.owned[index], s.owners[index]
@@ -205,7 +208,8 @@
 	return remoteError(err)
 }
 
-// remoteError gives an error that crossed a peer connection its type back.
+// remoteError restores the type of an error that a peer returned: net/rpc sends
+// only its text. Errors of unknown text become errNotOwner.
 func remoteError(err error) error {
 	if err == nil {
 		return nil
@@ -218,7 +222,8 @@
 	return errNotOwner
 }
 
-// Run keeps this host's shards until ctx ends, and then hands them over.
+// Run takes shards over and serves them until ctx ends. It then revokes the
+// lease, so that other hosts can take the shards over.
 func (s *Service) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for index := range s.opts.Shards {
@@ -233,6 +238,7 @@
 	return nil
 }
 
+// expireUntilDone removes expired records at each expireInterval until ctx ends.
 func (s *Service) expireUntilDone(ctx context.Context) {
 	for pause.For(ctx, expireInterval) {
 		s.mu.Lock()
@@ -246,7 +252,8 @@
 	}
 }
 
-// superviseShard watches a shard's head key and takes the shard over when nobody holds it.
+// superviseShard watches a shard's owner key, and takes the shard over and serves
+// it when no host holds it.
 func (s *Service) superviseShard(ctx context.Context, index int) {
 	key := ownerKey(index)
 	version := uint64(0)
@@ -273,10 +280,12 @@
 		if term, ok := s.acquire(ctx, index); ok {
 			s.serveShard(ctx, index, term)
 		}
-		immediate = true // read the head again now, not after the next change
+		immediate = true // read the owner key now instead of waiting for its next change
 	}
 }
 
+// readOwnerKey returns the entry of an owner key: at once if immediate is set,
+// otherwise when its version differs from seen or the watch times out.
 func (s *Service) readOwnerKey(ctx context.Context, key string, seen uint64, immediate bool) (kvstore.Entry, error) {
 	if !immediate {
 		ctx, cancel := context.WithTimeout(ctx, watchTimeout)
@@ -292,11 +301,12 @@
 	return e, err
 }
 
+// recordOwner stores the owner that an owner key names, for callOwner.
 func (s *Service) recordOwner(index int, head kvstore.Entry) {
 	var o owner
 	if len(head.Value) > 0 {
 		if err := json.Unmarshal(head.Value, &o); err != nil {
-			s.opts.Logger.Warn("A shard's owner is unreadable", "shard", index, "err", err)
+			s.opts.Logger.Warn("decoding the owner of a claims shard failed", "shard", index, "err", err)
 		}
 	}
 	s.mu.Lock()
@@ -304,14 +314,17 @@
 	s.owners[index] = o
 }
 
-// takeOverDelay spreads the shards over the hosts: one that owns some lets
-// others go first.
+// takeOverDelay returns how long this host waits before it takes over one more
+// shard. It grows with the number of shards that the host owns, so that the
+// shards spread over the hosts.
 func (s *Service) takeOverDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(len(s.owned)) * takeOverDelayPerShard
 }
 
+// acquire makes this host the owner of a shard in the store. The term is the
+// version of the owner key.
 func (s *Service) acquire(ctx context.Context, index int) (term uint64, ok bool) {
 	self := s.opts.Membership.View().Self
 	value, err := json.Marshal(owner{Name: self.Name, Address: self.PeerAddress, Incarnation: s.incarnation})
@@ -336,16 +349,17 @@
 	return e.Version, true
 }
 
-// serveShard owns a shard until another host takes it over or ctx ends.
+// serveShard opens a shard that this host has acquired, and serves it until
+// another host takes it over or ctx ends.
 func (s *Service) serveShard(ctx context.Context, index int, term uint64) {
 	sh, err := openShard(ctx, &s.opts, index, term)
 	if err != nil {
-		s.opts.Logger.Warn("Taking a shard of claims over failed", "shard", index, "err", err)
+		s.opts.Logger.Warn("taking over a claims shard failed", "shard", index, "err", err)
 		s.lease.revokeWithTimeout(ctx)
 		pause.For(ctx, maxBackoff)
 		return
 	}
-	s.opts.Logger.Info("Owning a shard of claims", "shard", index, "term", term)
+	s.opts.Logger.Info("claims shard taken over", "shard", index, "term", term)
 	s.setOwned(index, sh)
 	defer s.setOwned(index, nil)
 	shardCtx, cancel := context.WithCancel(ctx)
@@ -355,11 +369,11 @@
 	cancel()
 	watching.Wait()
 	if ctx.Err() == nil {
-		s.opts.Logger.Warn("Lost a shard of claims", "shard", index, "err", err)
+		s.opts.Logger.Warn("claims shard lost", "shard", index, "err", err)
 	}
 }
 
-// watchTerm ends the holding when another host has acquired the shard.
+// watchTerm calls onLost when another host has acquired the shard.
 func (s *Service) watchTerm(ctx context.Context, index int, term uint64, onLost func()) {
 	version, failed := term, false
 	for ctx.Err() == nil {
@@ -377,6 +391,7 @@
 	}
 }
 
+// setOwned records that this host owns a shard; nil: that it no longer does.
 func (s *Service) setOwned(index int, sh *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -15,32 +15,33 @@
 // errNotOwner means that this host does not own the key's shard.
 var errNotOwner = apierr.New(apierr.Unavailable, "this entry host does not own the key's shard", "ask the shard's owner")
 
-// errKeysFull refuses a new key when too many are within their retention.
+// errKeysFull means that a new key was refused because too many keys are within
+// their retention.
 var errKeysFull = apierr.New(apierr.Overloaded, "too many idempotency keys are kept; this attempt was not run", "retry later")
 
-// queuedEvent is an event that waits for its write, and who waits for it.
+// queuedEvent is an event that waits to be written.
 type queuedEvent struct {
-	event  event
-	record *record    // of a new claim; nil for other events
-	written chan error // nil: nobody waits
+	event   event
+	record  *record    // of a new claim; nil for other events
+	written chan error // receives the write's result; nil: no caller waits
 }
 
-// shard is a shard while this host owns it. Its writer goroutine alone uses the
-// journal; mu guards the rest. Safe for concurrent use.
+// shard is a shard that this host owns. Only the goroutine of run uses the
+// journal; mu guards the other fields. It is safe for concurrent use.
 type shard struct {
 	opts    *Options
 	journal *journal
 	wake    chan struct{} // holds a token when queue is not empty
 
-	mu       sync.Mutex
-	table    *table
-	queue    []queuedEvent
-	writeFailing bool          // the last write failed and has not settled
-	writeFailed  chan struct{} // closed while troubled
-	closed    bool          // this host writes to the shard no more
+	mu           sync.Mutex
+	table        *table
+	queue        []queuedEvent
+	writeFailing bool          // the last write failed and has not been repeated successfully
+	writeFailed  chan struct{} // closed while writeFailing
+	closed       bool          // this host no longer writes to the shard
 }
 
-// openShard takes a shard over under a term.
+// openShard takes a shard over under a term, and loads its records from the log.
 func openShard(ctx context.Context, o *Options, index int, term uint64) (*shard, error) {
 	s := &shard{opts: o, wake: make(chan struct{}, 1), table: newTable(), writeFailed: make(chan struct{})}
 	s.journal = newJournal(o, index, term, s.recordWriteResult)
@@ -55,6 +56,8 @@
 	return s, nil
 }
 
+// recordWriteResult is the journal's onWriteResult: it notifies the waiting claims
+// when writes begin to fail.
 func (s *shard) recordWriteResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +70,7 @@
 	s.writeFailing = err != nil
 }
 
-// claim grants a key once its claim is in the store.
+// claim claims a key. It returns Granted only once the claim is in the store.
 func (s *shard) claim(ctx context.Context, req Request) (Reply, error) {
 	s.mu.Lock()
 	if s.closed {
@@ -77,7 +80,7 @@
 	old := s.table.records[hashKey(req.Key)]
 	known := old != nil
 	if s.writeFailing && (!known || old.state == pending) {
-		// Nobody was granted the key, and nobody will be before the write settles.
+		// The key is granted to no attempt, and cannot be before a write succeeds.
 		s.mu.Unlock()
 		return Reply{}, ErrUnavailable
 	}
@@ -100,7 +103,8 @@
 	}
 }
 
-// abandon frees a claim whose asker gives up, unless it was granted just now.
+// abandon marks a claim whose caller stops waiting as abandoned, so that the key
+// is released. If the claim was granted in the meantime, it returns reply.
 func (s *shard) abandon(r *record, reply Reply) (Reply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,6 +115,7 @@
 	return Reply{}, ErrUnavailable
 }
 
+// lookup looks a key up without claiming it.
 func (s *shard) lookup(k Key) (Reply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +125,8 @@
 	return s.table.lookup(s.opts.Now(), k), nil
 }
 
-// complete records an attempt's end; it is written with the next claims.
+// complete records the outcome of an attempt and queues its event, which is
+// written with the next claims or after CompletionDelay.
 func (s *shard) complete(c Completion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +139,7 @@
 	return nil
 }
 
-// enqueue wakes the writer. The caller holds mu.
+// enqueue adds an event to the queue and wakes run. The caller holds mu.
 func (s *shard) enqueue(e queuedEvent) {
 	s.queue = append(s.queue, e)
 	select {
@@ -142,8 +148,8 @@
 	}
 }
 
-// run writes the queue in groups until ctx ends or the shard is lost. It writes
-// what is queued before it returns, if the store answers in time.
+// run writes the queue in groups until ctx ends or the shard is lost. After ctx
+// ends it writes the remaining queue, for at most callTimeout, and returns.
 func (s *shard) run(ctx context.Context) error {
 	writeCtx, stop := withGracePeriod(ctx, callTimeout)
 	defer stop()
@@ -163,7 +169,7 @@
 	return err
 }
 
-// withGracePeriod returns a context that ends some time after ctx.
+// withGracePeriod returns a context that is cancelled grace after ctx ends.
 func withGracePeriod(ctx context.Context, grace time.Duration) (context.Context, func()) {
 	graceCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() { time.AfterFunc(grace, cancel) })
@@ -173,8 +179,9 @@
 	}
 }
 
-// waitForWork waits for something to write. Ends of attempts alone wait longer than
-// claims, for which a caller waits.
+// waitForWork returns when a claim is queued, after CompletionDelay, or when ctx
+// ends. No caller waits for the write of a completion, so completions alone may
+// stay queued for CompletionDelay.
 func (s *shard) waitForWork(ctx context.Context) {
 	completionTimer := time.NewTimer(s.opts.CompletionDelay)
 	defer completionTimer.Stop()
@@ -200,7 +207,8 @@
 	return false
 }
 
-// commitGroup writes one group; wrote is false when there was none.
+// commitGroup writes one group of queued events and resolves its claims. wrote is
+// false when the queue was empty.
 func (s *shard) commitGroup(ctx context.Context) (wrote bool, err error) {
 	group := s.takeGroup()
 	if len(group) == 0 {
@@ -220,8 +228,8 @@
 	return true, err
 }
 
-// takeGroup removes a group from the queue, without the claims that nobody waits
-// for any more.
+// takeGroup removes up to EventsPerSegment events from the queue, and drops the
+// claims that were abandoned.
 func (s *shard) takeGroup() []queuedEvent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +246,8 @@
 	return group
 }
 
-// resolveGroup tells the waiting callers that their claims are in the store, or not.
+// resolveGroup sends the result of a write to the callers of the group's claims.
+// A claim that was abandoned during the write is released again.
 func (s *shard) resolveGroup(group []queuedEvent, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,8 +269,8 @@
 	}
 }
 
-// refuseGroup drops a group that the log has no room for. Ends of attempts that are
-// dropped leave their keys unknown after a change of owner.
+// refuseGroup drops a group for which the log has no space. After a change of
+// owner, the keys of dropped completions have the verdict Unknown.
 func (s *shard) refuseGroup(group []queuedEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,7 +282,7 @@
 	}
 }
 
-// close refuses whatever still waits and whatever still comes.
+// close refuses the queued claims and all later calls.
 func (s *shard) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,6 +295,7 @@
 	s.queue = nil
 }
 
+// expire removes the records whose retention has passed.
 func (s *shard) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claims/table.go
+++ b/claims/table.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// completionGrace is how long after its end an attempt's completion may
-	// still arrive before its key counts as unknown.
+	// completionGrace is how long after an attempt's deadline its completion may
+	// arrive before the verdict on its key becomes Unknown.
 	completionGrace = 5 * time.Second
 
-	maxKeptBodies = 4096 // answers with a body that a table keeps
+	maxKeptBodies = 4096 // per table; limits the memory used by bodies
 )
 
-// keyHash identifies a key in memory and in the store.
+// keyHash is the hash that identifies a key in memory and in the store.
 type keyHash [16]byte
 
 func hashKey(k Key) keyHash {
@@ -29,34 +29,35 @@
 type state uint8
 
 const (
-	pending state = iota // asked for; not yet in the store
-	claimed              // granted
+	pending state = iota // queued; not yet in the store
+	claimed              // in the store and granted
 	done
 	unknown
 )
 
-// record is what is known about one key.
+// record is the state of one key.
 type record struct {
 	hash        keyHash
 	attempt     uint64
 	fingerprint uint64
 	until       time.Time
 	state       state
-	abandoned   bool // pending, and its asker has gone
+	abandoned   bool // pending, and its caller no longer waits
 	answer      Answer
 }
 
-// table holds the records of one shard, or of one incarnation. It is pure and
-// not safe for concurrent use.
+// table holds the records of one shard, or of the keys bound to one incarnation.
+// It does no I/O and is not safe for concurrent use.
 type table struct {
-	records map[keyHash]*record
-	withBody    []*record // records with a body, oldest first
+	records  map[keyHash]*record
+	withBody []*record // records with a body, oldest first
 }
 
 func newTable() *table { return &table{records: make(map[keyHash]*record)} }
 
-// claim answers a claim. When it creates a record, that is pending and the
-// verdict is Granted: the claim is granted once the record is in the store.
+// claim claims a key and returns its record. For a new key it creates a pending
+// record and returns Granted, which the caller must pass on only once the record
+// is in the store.
 func (t *table) claim(now time.Time, req Request) (Reply, *record) {
 	h := hashKey(req.Key)
 	r := t.records[h]
@@ -74,7 +75,7 @@
 	return r.replyAt(now), r
 }
 
-// lookup tells what is known about a key.
+// lookup returns the verdict on a key without claiming it.
 func (t *table) lookup(now time.Time, k Key) Reply {
 	r := t.records[hashKey(k)]
 	if r == nil {
@@ -83,6 +84,7 @@
 	return r.replyAt(now)
 }
 
+// replyAt returns the reply to a look-up of the record at a time.
 func (r *record) replyAt(now time.Time) Reply {
 	switch r.state {
 	case done:
@@ -96,8 +98,8 @@
 	return Reply{Verdict: Unknown}
 }
 
-// complete records an attempt's end. It returns the event to store; ok is
-// false when there is nothing to record.
+// complete records the outcome of an attempt. It returns the event to store; ok
+// is false when there is none.
 func (t *table) complete(c Completion) (e event, ok bool) {
 	r := t.records[hashKey(c.Key)]
 	if r == nil || r.attempt != hashAttempt(c.Attempt) {
@@ -123,7 +125,8 @@
 	return r.event(eventDone), true
 }
 
-// keepBody bounds the memory used by bodies.
+// keepBody keeps the body of a record's answer, and evicts the oldest body when
+// there are more than maxKeptBodies.
 func (t *table) keepBody(r *record) {
 	if len(r.answer.Body) == 0 {
 		return
@@ -137,7 +140,8 @@
 	}
 }
 
-// expire forgets the records that ended before then.
+// expire removes the records whose deadline lies before cutoff, except pending
+// ones.
 func (t *table) expire(cutoff time.Time) {
 	for h, r := range t.records {
 		if r.state != pending && r.until.Before(cutoff) {
@@ -146,7 +150,7 @@
 	}
 }
 
-// apply replays an event read from the store.
+// apply replays an event that was read from the log.
 func (t *table) apply(e event) {
 	r := t.records[e.hash]
 	if e.kind == eventClaimed {
@@ -166,6 +170,7 @@
 	}
 }
 
+// event returns the event that records a transition of r.
 func (r *record) event(kind eventKind) event {
 	return event{
 		kind:        kind,
