--- a/intake/check.go
+++ b/intake/check.go
@@ -28,7 +28,7 @@
 	}
 	for _, t := range service.Jobs {
 		if t.Name == spec.Template {
-			return job.Record{Spec: spec, Team: service.Team}, orNil(checkTemplate(t, spec))
+			return job.Record{Spec: spec, Team: service.Team}, asError(checkTemplate(t, spec))
 		}
 	}
 	return job.Record{}, apierr.Invalid("template",
@@ -67,48 +67,48 @@
 	return true
 }
 
-var nearness = map[job.Adjacency]int{job.SameWorker: 0, job.SameRack: 1, job.SameFailureDomain: 2}
+var adjacencyRank = map[job.Adjacency]int{job.SameWorker: 0, job.SameRack: 1, job.SameFailureDomain: 2}
 
 // checkTemplate checks a spec against the bounds of its template.
 func checkTemplate(t config.JobTemplate, spec job.Spec) *apierr.Error {
 	var mistakes []*apierr.Error
-	wrong := func(field, message, remedy string) {
+	addMistake := func(field, message, remedy string) {
 		mistakes = append(mistakes, apierr.Invalid(field, message, remedy))
 	}
 	s := spec.Shape
 	if s.Tasks < 1 || s.Tasks > job.MaxGangTasks {
-		wrong("shape.tasks", fmt.Sprintf("%d tasks", s.Tasks), fmt.Sprintf("use 1 to %d", job.MaxGangTasks))
+		addMistake("shape.tasks", fmt.Sprintf("%d tasks", s.Tasks), fmt.Sprintf("use 1 to %d", job.MaxGangTasks))
 	} else if s.Tasks > t.Shape.Tasks {
-		wrong("shape.tasks", fmt.Sprintf("%d tasks; template %s allows %d", s.Tasks, t.Name, t.Shape.Tasks),
+		addMistake("shape.tasks", fmt.Sprintf("%d tasks; template %s allows %d", s.Tasks, t.Name, t.Shape.Tasks),
 			"submit a smaller gang or another template")
 	}
 	if s.AcceleratorsPerTask < 0 {
-		wrong("shape.acceleratorsPerTask", "it is negative", "use 0 or more")
+		addMistake("shape.acceleratorsPerTask", "it is negative", "use 0 or more")
 	} else if s.AcceleratorsPerTask > t.Shape.AcceleratorsPerTask {
-		wrong("shape.acceleratorsPerTask",
+		addMistake("shape.acceleratorsPerTask",
 			fmt.Sprintf("%d accelerators a task; template %s allows %d", s.AcceleratorsPerTask, t.Name, t.Shape.AcceleratorsPerTask),
 			"submit smaller tasks or another template")
 	}
 	if !s.Adjacency.Valid() {
-		wrong("shape.adjacency", fmt.Sprintf("%q is no adjacency", s.Adjacency), "use worker, rack or failure-domain")
-	} else if nearness[s.Adjacency] < nearness[t.Shape.Adjacency] {
-		wrong("shape.adjacency", fmt.Sprintf("%s is nearer than template %s allows, %s", s.Adjacency, t.Name, t.Shape.Adjacency),
+		addMistake("shape.adjacency", fmt.Sprintf("%q is no adjacency", s.Adjacency), "use worker, rack or failure-domain")
+	} else if adjacencyRank[s.Adjacency] < adjacencyRank[t.Shape.Adjacency] {
+		addMistake("shape.adjacency", fmt.Sprintf("%s is nearer than template %s allows, %s", s.Adjacency, t.Name, t.Shape.Adjacency),
 			"ask for the template's adjacency or a wider one")
 	}
 	if spec.Urgent && !t.Urgent {
-		wrong("urgent", "template "+t.Name+" takes no urgent jobs", "leave urgent out or use another template")
+		addMistake("urgent", "template "+t.Name+" takes no urgent jobs", "leave urgent out or use another template")
 	}
 	if spec.Checkpoint && !t.Checkpoint {
-		wrong("checkpoint", "tasks of template "+t.Name+" can not save their work", "leave checkpoint out")
+		addMistake("checkpoint", "tasks of template "+t.Name+" can not save their work", "leave checkpoint out")
 	}
 	if spec.DeclaredRun < 0 {
-		wrong("declaredRunNanos", "it is negative", "leave it out or use the expected run time")
+		addMistake("declaredRunNanos", "it is negative", "leave it out or use the expected run time")
 	}
 	return apierr.Join(mistakes)
 }
 
-// orNil turns a nil *apierr.Error into a nil error.
-func orNil(e *apierr.Error) error {
+// asError turns a nil *apierr.Error into a nil error.
+func asError(e *apierr.Error) error {
 	if e == nil {
 		return nil
 	}
--- a/intake/choose.go
+++ b/intake/choose.go
@@ -16,45 +16,45 @@
 type candidate struct {
 	name       string
 	guaranteed bool    // the organisation holds a guarantee there
-	home       bool    // this host's own
+	local      bool    // this host's own
 	load       float64 // accelerators asked for over accelerators there
 }
 
-// before orders candidates: guarantees first, then load, then the own one.
-func (c candidate) before(d candidate) bool {
+// betterThan orders candidates: guarantees first, then load, then the own one.
+func (c candidate) betterThan(d candidate) bool {
 	if c.guaranteed != d.guaranteed {
 		return c.guaranteed
 	}
 	if c.load != d.load {
 		return c.load < d.load
 	}
-	if c.home != d.home {
-		return c.home
+	if c.local != d.local {
+		return c.local
 	}
 	return c.name < d.name
 }
 
-// choose picks the failure domain for a new job: in service, with a scheduler,
+// chooseDomain picks the failure domain for a new job: in service, with a scheduler,
 // able to hold the shape, best with the organisation's guarantee, least loaded.
-func (in *Intake) choose(ctx context.Context, snap *config.Snapshot, rec job.Record) (string, error) {
+func (in *Intake) chooseDomain(ctx context.Context, snap *config.Snapshot, rec job.Record) (string, error) {
 	var fitting []candidate
 	refusal := apierr.New(apierr.Infeasible, "no failure domain is configured", "have an operator apply one")
-	for _, name := range domainsFor(snap, rec.Spec) {
+	for _, name := range permittedDomains(snap, rec.Spec) {
 		ok, reason, remedy := placement.Feasible(in.workers(name), rec.Spec.Shape)
 		if !ok {
 			refusal = apierr.New(apierr.Infeasible, "the shape fits nowhere: "+reason, remedy)
 			continue
 		}
-		fitting = append(fitting, candidate{name: name, home: name == in.o.FailureDomain,
+		fitting = append(fitting, candidate{name: name, local: name == in.o.FailureDomain,
 			guaranteed: guaranteedIn(snap, rec.Spec.ID.Organisation, name)})
 	}
 	if len(fitting) == 0 {
 		return "", refusal
 	}
-	return in.best(ctx, snap, rec, fitting)
+	return in.bestCandidate(ctx, snap, rec, fitting)
 }
 
-func domainsFor(snap *config.Snapshot, spec job.Spec) []string {
+func permittedDomains(snap *config.Snapshot, spec job.Spec) []string {
 	var out []string
 	for name := range snap.FailureDomains {
 		if spec.FailureDomain == "" || spec.FailureDomain == name {
@@ -65,26 +65,26 @@
 	return out
 }
 
-// best prefers failure domains that start jobs now. When none does, the job
-// waits in the best of the others.
-func (in *Intake) best(ctx context.Context, snap *config.Snapshot, rec job.Record, fitting []candidate) (string, error) {
-	var open []candidate
+// bestCandidate prefers failure domains that start jobs now. When none does, the job
+// waits in the bestCandidate of the others.
+func (in *Intake) bestCandidate(ctx context.Context, snap *config.Snapshot, rec job.Record, fitting []candidate) (string, error) {
+	var usable []candidate
 	for _, c := range fitting {
 		if !snap.FailureDomains[c.name].Out && in.o.HasScheduler(c.name) {
-			open = append(open, c)
+			usable = append(usable, c)
 		}
 	}
-	if len(open) == 0 {
-		open = fitting
+	if len(usable) == 0 {
+		usable = fitting
 	}
-	for i := range open {
-		if len(open) > 1 {
-			open[i].load = in.loads.of(ctx, open[i].name, in.capacity(open[i].name))
+	for i := range usable {
+		if len(usable) > 1 {
+			usable[i].load = in.loads.ratio(ctx, usable[i].name, in.capacity(usable[i].name))
 		}
 	}
-	sort.Slice(open, func(i, j int) bool { return open[i].before(open[j]) })
-	in.loads.add(open[0].name, rec.Spec.Shape.Accelerators())
-	return open[0].name, nil
+	sort.Slice(usable, func(i, j int) bool { return usable[i].betterThan(usable[j]) })
+	in.loads.addJob(usable[0].name, rec.Spec.Shape.Accelerators())
+	return usable[0].name, nil
 }
 
 func guaranteedIn(snap *config.Snapshot, organisation, domain string) bool {
@@ -112,57 +112,57 @@
 	return sum
 }
 
-// loadFresh is how long another failure domain's load is taken as read.
-const loadFresh = 10 * time.Second
+// maxLoadAge is how long another failure domain's load is taken as read.
+const maxLoadAge = 10 * time.Second
 
 type load struct {
 	accelerators int
-	read         time.Time
+	readAt       time.Time
 }
 
-// loads remembers how many accelerators each failure domain's jobs ask for.
+// loadCache remembers how many accelerators each failure domain's jobs ask for.
 // It is safe for concurrent use.
-type loads struct {
-	o       Options
-	mu      sync.Mutex
-	known   map[string]*load
-	reading sync.Mutex // one reader at a time; the others find its answer
+type loadCache struct {
+	o        Options
+	mu       sync.Mutex
+	byDomain map[string]*load
+	readMu   sync.Mutex // one reader at a time; the others find its answer
 }
 
-func newLoads(o Options) *loads { return &loads{o: o, known: make(map[string]*load)} }
+func newLoadCache(o Options) *loadCache { return &loadCache{o: o, byDomain: make(map[string]*load)} }
 
-// of returns the load over the capacity. An unreadable ledger keeps the last
+// ratio returns the load over the capacity. An unreadable ledger keeps the last
 // known load: the choice is a preference only.
-func (l *loads) of(ctx context.Context, domain string, capacity int) float64 {
-	l.reading.Lock()
-	defer l.reading.Unlock()
+func (l *loadCache) ratio(ctx context.Context, domain string, capacity int) float64 {
+	l.readMu.Lock()
+	defer l.readMu.Unlock()
 	now := l.o.Now()
 	l.mu.Lock()
-	k := l.known[domain]
-	stale := k == nil || now.Sub(k.read) >= loadFresh
+	k := l.byDomain[domain]
+	stale := k == nil || now.Sub(k.readAt) >= maxLoadAge
 	l.mu.Unlock()
 	if stale {
-		l.read(ctx, domain, now)
+		l.refresh(ctx, domain, now)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k = l.known[domain]
+	k = l.byDomain[domain]
 	if k == nil || capacity == 0 {
 		return 0
 	}
 	return float64(k.accelerators) / float64(capacity)
 }
 
-func (l *loads) read(ctx context.Context, domain string, now time.Time) {
+func (l *loadCache) refresh(ctx context.Context, domain string, now time.Time) {
 	records, err := l.records(ctx, domain)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.known[domain]
+	k := l.byDomain[domain]
 	if k == nil {
 		k = &load{}
-		l.known[domain] = k
+		l.byDomain[domain] = k
 	}
-	k.read = now
+	k.readAt = now
 	if err != nil {
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *loads) records(ctx context.Context, domain string) (map[string]job.Record, error) {
+func (l *loadCache) records(ctx context.Context, domain string) (map[string]job.Record, error) {
 	jobs := l.o.Ledgers.Jobs(domain)
 	if records, _, complete := jobs.Snapshot(); complete && domain == l.o.FailureDomain {
 		return records, nil
@@ -182,11 +182,11 @@
 	return jobs.ReadAll(ctx)
 }
 
-// add counts a job just sent to a failure domain.
-func (l *loads) add(domain string, accelerators int) {
+// addJob counts a job just sent to a failure domain.
+func (l *loadCache) addJob(domain string, accelerators int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.known[domain]; k != nil {
+	if k := l.byDomain[domain]; k != nil {
 		k.accelerators += accelerators
 	}
 }
--- a/intake/forward.go
+++ b/intake/forward.go
@@ -76,7 +76,7 @@
 // when this host is the one, or when the other did not answer: the call is then
 // made here, which is harmless, as it takes effect once for its ID.
 func (in *Intake) forward(ctx context.Context, method string, args any) (rec job.Record, err error, ok bool) {
-	h, found := in.writer()
+	h, found := in.writerHost()
 	if !found {
 		return job.Record{}, nil, false
 	}
@@ -92,19 +92,19 @@
 	return reply.Record, nil, true
 }
 
-// schedulerTeller is an election.Holder that knows the holder's name.
-type schedulerTeller interface{ Scheduler() string }
+// schedulerNamer is an election.Holder that knows the holder's name.
+type schedulerNamer interface{ Scheduler() string }
 
-// writer returns the entry host of this failure domain that writes for the
+// writerHost returns the entry host of this failure domain that writes for the
 // others: its scheduler, which writes to the same ledger anyway, or else one
 // that all choose alike. found is false when that is this host.
-func (in *Intake) writer() (h kvstore.Host, found bool) {
+func (in *Intake) writerHost() (h kvstore.Host, found bool) {
 	if in.o.Peers == nil {
 		return kvstore.Host{}, false
 	}
 	view := in.o.Membership.View()
 	scheduler := ""
-	if e, knows := in.o.Election.(schedulerTeller); knows {
+	if e, knows := in.o.Election.(schedulerNamer); knows {
 		scheduler = e.Scheduler()
 	}
 	best, top := view.Self, xxhash.Sum64String(view.Self.Name)
--- a/intake/http.go
+++ b/intake/http.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	maxSpecBytes = 64 << 10
-	peerTimeout  = time.Second
-	methodHold   = "Gangs.Hold"
+	maxSpecBytes    = 64 << 10
+	holdCallTimeout = time.Second
+	methodHold      = "Gangs.Hold"
 )
 
 // Register adds the job calls to mux. The sender's identity is in each
 // request's context.
 func (in *Intake) Register(mux *http.ServeMux) {
-	const one = "/v1/jobs/{organisation}/{service}/{name}"
+	const jobPath = "/v1/jobs/{organisation}/{service}/{name}"
 	mux.HandleFunc("POST /v1/jobs", handle(in.serveSubmit))
 	mux.HandleFunc("GET /v1/jobs", handle(in.serveList))
-	mux.HandleFunc("GET "+one, handle(in.serveStatus))
-	mux.HandleFunc("GET "+one+"/explain", handle(in.serveExplain))
-	mux.HandleFunc("DELETE "+one, handle(in.serveCancel))
+	mux.HandleFunc("GET "+jobPath, handle(in.serveStatus))
+	mux.HandleFunc("GET "+jobPath+"/explain", handle(in.serveExplain))
+	mux.HandleFunc("DELETE "+jobPath, handle(in.serveCancel))
 }
 
 type handler func(r *http.Request, who auth.Identity) (any, error)
@@ -50,7 +50,7 @@
 	}
 }
 
-func pathID(r *http.Request) job.ID {
+func jobIDFromPath(r *http.Request) job.ID {
 	return job.ID{
 		Organisation: r.PathValue("organisation"),
 		Service:      r.PathValue("service"),
@@ -67,11 +67,11 @@
 }
 
 func (in *Intake) serveStatus(r *http.Request, who auth.Identity) (any, error) {
-	return in.Find(r.Context(), who, pathID(r))
+	return in.Find(r.Context(), who, jobIDFromPath(r))
 }
 
 func (in *Intake) serveCancel(r *http.Request, who auth.Identity) (any, error) {
-	return in.Cancel(r.Context(), who, pathID(r))
+	return in.Cancel(r.Context(), who, jobIDFromPath(r))
 }
 
 func (in *Intake) serveList(r *http.Request, who auth.Identity) (any, error) {
@@ -101,7 +101,7 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		return nil, explainStore(err)
+		return nil, storeError(err)
 	}
 	found := make(map[string]job.Record)
 	for _, records := range pages {
@@ -120,19 +120,19 @@
 }
 
 func (in *Intake) serveExplain(r *http.Request, who auth.Identity) (any, error) {
-	rec, domain, err := in.locate(r.Context(), who, pathID(r))
+	rec, domain, err := in.locate(r.Context(), who, jobIDFromPath(r))
 	if err != nil {
-		return nil, explainStore(err)
+		return nil, storeError(err)
 	}
 	why := rec.Reason
 	if rec.State == job.Queued {
-		why = in.why(r.Context(), domain, rec)
+		why = in.whyQueued(r.Context(), domain, rec)
 	}
 	return api.Explanation{Record: rec, FailureDomain: domain, Why: why, History: rec.History}, nil
 }
 
-// why asks the scheduler of the job's failure domain why it waits.
-func (in *Intake) why(ctx context.Context, domain string, rec job.Record) string {
+// whyQueued asks the scheduler of the job's failure domain whyQueued it waits.
+func (in *Intake) whyQueued(ctx context.Context, domain string, rec job.Record) string {
 	snap, _ := in.o.Config.Current()
 	if snap.FailureDomains[domain].Out {
 		return "failure domain " + domain + " is out of service; the job is moved or waits until it is back"
@@ -140,7 +140,7 @@
 	if reason, ok := in.o.HoldReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
 		return reason
 	}
-	if reason, ok := in.askPeers(ctx, domain, rec.Spec.ID); ok {
+	if reason, ok := in.askHoldReason(ctx, domain, rec.Spec.ID); ok {
 		return reason
 	}
 	if rec.Reason != "" {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -22,10 +22,10 @@
 const (
 	// DefaultRetention is how long ended jobs are kept.
 	DefaultRetention = 24 * time.Hour
-	// writeTimeout bounds a caller's wait for the ledger.
-	writeTimeout = 8 * time.Second
-	// keepEvery is the time between two rounds of pruning and moving.
-	keepEvery = 2 * time.Second
+	// ledgerTimeout bounds a caller's wait for the ledger.
+	ledgerTimeout = 8 * time.Second
+	// maintenanceInterval is the time between two rounds of pruning and moving.
+	maintenanceInterval = 2 * time.Second
 )
 
 // Options configures an Intake.
@@ -68,26 +68,26 @@
 // Intake serves callers' job calls. It is safe for concurrent use.
 type Intake struct {
 	o     Options
-	loads *loads
+	loads *loadCache
 
 	submitted *metrics.Counter
 	refused   *metrics.Counter
 
-	pulled time.Time // last look at other failure domains' queues; owned by Keep
+	lastPull time.Time // last look at other failure domains' queues; owned by Keep
 
-	mu    sync.Mutex
-	since map[string]time.Time // failure domain to the moment since which it starts nothing
+	mu               sync.Mutex
+	notStartingSince map[string]time.Time // failure domain to the moment since which it starts nothing
 }
 
 // New returns an intake; Run prunes and moves jobs.
 func New(o Options) *Intake {
 	o = o.withDefaults()
 	return &Intake{
-		o:         o,
-		loads:     newLoads(o),
-		submitted: o.Metrics.GetOrCreateCounter("cyclamentray_intake_submitted_total"),
-		refused:   o.Metrics.GetOrCreateCounter("cyclamentray_intake_refused_total"),
-		since:     make(map[string]time.Time),
+		o:                o,
+		loads:            newLoadCache(o),
+		submitted:        o.Metrics.GetOrCreateCounter("cyclamentray_intake_submitted_total"),
+		refused:          o.Metrics.GetOrCreateCounter("cyclamentray_intake_refused_total"),
+		notStartingSince: make(map[string]time.Time),
 	}
 }
 
@@ -96,7 +96,7 @@
 // here at once, until ctx ends. Only the host that holds the failure domain's
 // term does so.
 func (in *Intake) Run(ctx context.Context) error {
-	ticker := time.NewTicker(keepEvery)
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -115,6 +115,6 @@
 		return
 	}
 	in.prune(ctx)
-	in.move(ctx)
+	in.moveQueuedJobs(ctx)
 	in.pull(ctx)
 }
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -77,7 +77,7 @@
 	return s.now
 }
 
-func (s *site) pass(d time.Duration) {
+func (s *site) advanceClock(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = s.now.Add(d)
@@ -193,7 +193,7 @@
 	must.EqOp(t, "early", rec.Spec.ID.Name)
 }
 
-func TestOrganisationsSeeOnlyTheirOwn(t *testing.T) {
+func TestOrganisationsSeeOnlyTheirOwnJobs(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	in, _ := s.entryHost("fd1")
@@ -229,7 +229,7 @@
 	s := newSite(t)
 	_, ledgers := s.entryHost("fd1")
 	ins, _ := s.entryHosts(t, hosts)
-	each := func(act func(*intake.Intake, job.Spec) error) int {
+	writesFor := func(act func(*intake.Intake, job.Spec) error) int {
 		before := s.kv.Calls()["put"]
 		var wg sync.WaitGroup
 		for i := range burst {
@@ -238,11 +238,11 @@
 		wg.Wait()
 		return s.kv.Calls()["put"] - before
 	}
-	submits := each(func(in *intake.Intake, j job.Spec) error {
+	submits := writesFor(func(in *intake.Intake, j job.Spec) error {
 		_, err := in.Submit(context.Background(), org, j)
 		return err
 	})
-	cancels := each(func(in *intake.Intake, j job.Spec) error {
+	cancels := writesFor(func(in *intake.Intake, j job.Spec) error {
 		_, err := in.Cancel(context.Background(), org, j.ID)
 		return err
 	})
@@ -261,7 +261,7 @@
 	must.EqOp(t, burst, sum)
 }
 
-func TestSubmitWithoutTheHostThatWrites(t *testing.T) {
+func TestSubmitFallsBackToLocalWrite(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	ins, servers := s.entryHosts(t, 2)
@@ -281,7 +281,7 @@
 	must.Len(t, 4, jobs)
 }
 
-func TestQueuedJobsLeaveAFailureDomainThatIsOut(t *testing.T) {
+func TestQueuedJobsLeaveFailureDomainOutOfService(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.edit(func(c *config.Snapshot) { c.FailureDomains["fd2"] = config.FailureDomain{Name: "fd2", Out: true} })
@@ -309,13 +309,13 @@
 	_, found, err := ledgers.Jobs("fd2").Read(ctx, spec("waits").ID.String())
 	must.NoError(t, err)
 	must.False(t, found, must.Sprint("start permits have not lapsed yet"))
-	s.pass(10 * time.Second)
+	s.advanceClock(10 * time.Second)
 	other.Maintain(ctx)
 	other.Maintain(ctx)
 
 	moved, err := ledgers.Jobs("fd2").ReadAll(ctx)
 	must.NoError(t, err)
-	must.Len(t, 1, sortedNames(moved))
+	must.Len(t, 1, recordNames(moved))
 	must.EqOp(t, job.Queued, moved[spec("waits").ID.String()].State)
 	rec, err := in.Submit(ctx, org, spec("waits"))
 	must.NoError(t, err, must.Sprint("a repeated submission follows the job"))
@@ -331,7 +331,7 @@
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2", Out: true}}
 	})
 	in.Maintain(ctx)
-	s.pass(10 * time.Second)
+	s.advanceClock(10 * time.Second)
 	in.Maintain(ctx)
 	rec, err = in.Find(ctx, org, spec("waits").ID)
 	must.NoError(t, err)
@@ -339,7 +339,7 @@
 	must.EqOp(t, job.Queued, rec.State)
 }
 
-func sortedNames(records map[string]job.Record) []string {
+func recordNames(records map[string]job.Record) []string {
 	var out []string
 	for name := range records {
 		out = append(out, name)
@@ -365,11 +365,11 @@
 	in.Maintain(ctx)
 	_, err = in.Find(ctx, org, spec("ends").ID)
 	must.NoError(t, err, must.Sprint("kept for a while"))
-	s.pass(intake.DefaultRetention + time.Second)
+	s.advanceClock(intake.DefaultRetention + time.Second)
 	in.Maintain(ctx)
 	records, err := ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
-	must.Eq(t, []string{spec("waits").ID.String()}, sortedNames(records))
+	must.Eq(t, []string{spec("waits").ID.String()}, recordNames(records))
 	_, err = in.Find(ctx, org, spec("ends").ID)
 	must.EqOp(t, apierr.NotFound, apierr.KindOf(err))
 }
--- a/intake/ledger/codec.go
+++ b/intake/ledger/codec.go
@@ -11,11 +11,11 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// keptNonces is how many writes back a lost answer can still be recognised.
-const keptNonces = 16
+// maxNonces is how many writes back a lost answer can still be recognised.
+const maxNonces = 16
 
-// maxPlainBytes bounds an unpacked shard.
-const maxPlainBytes = 16 * kvstore.MaxValueBytes
+// maxDecodedBytes bounds an unpacked shard.
+const maxDecodedBytes = 16 * kvstore.MaxValueBytes
 
 // page is one shard's value: entries by key, and the newest writes' nonces.
 type page[V any] struct {
@@ -23,7 +23,7 @@
 	Entries map[string]V `json:"entries"`
 }
 
-func (p page[V]) wrote(nonce string) bool {
+func (p page[V]) hasNonce(nonce string) bool {
 	for _, n := range p.Nonces {
 		if n == nonce {
 			return true
@@ -32,12 +32,12 @@
 	return false
 }
 
-// with returns a copy of p whose entries and nonces may be changed freely.
-func (p page[V]) with(nonce string) page[V] {
+// copyWithNonce returns a copy of p whose entries and nonces may be changed freely.
+func (p page[V]) copyWithNonce(nonce string) page[V] {
 	next := page[V]{Entries: make(map[string]V, len(p.Entries)+1)}
 	kept := p.Nonces
-	if len(kept) >= keptNonces {
-		kept = kept[len(kept)-keptNonces+1:]
+	if len(kept) >= maxNonces {
+		kept = kept[len(kept)-maxNonces+1:]
 	}
 	next.Nonces = append(append(next.Nonces, kept...), nonce)
 	for k, v := range p.Entries {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return p, errors.Wrap(err, "unpacking a ledger shard")
 	}
-	plain, err := io.ReadAll(io.LimitReader(z, maxPlainBytes))
+	plain, err := io.ReadAll(io.LimitReader(z, maxDecodedBytes))
 	if err != nil {
 		return p, errors.Wrap(err, "unpacking a ledger shard")
 	}
--- a/intake/ledger/ledger_test.go
+++ b/intake/ledger/ledger_test.go
@@ -16,35 +16,35 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// flaky makes writes take effect and lose their answer, or not reach the store.
-type flaky struct {
+// faultyStore makes writes take effect and lose their answer, or not reach the store.
+type faultyStore struct {
 	kvstore.Store
-	mu     sync.Mutex
-	lose   int // answers of writes to lose after their effect
-	refuse int // writes that do not reach the store
-	writes int
+	mu          sync.Mutex
+	loseAnswers int // answers of writes to lose after their effect
+	dropWrites  int // writes that do not reach the store
+	writes      int
 }
 
-func (f *flaky) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
+func (f *faultyStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
-	if f.refuse > 0 {
-		f.refuse--
+	if f.dropWrites > 0 {
+		f.dropWrites--
 		return kvstore.Entry{}, kvstore.ErrUnavailable
 	}
 	e, err := f.Store.CompareAndSwap(ctx, key, value, version)
-	if f.lose > 0 {
-		f.lose--
+	if f.loseAnswers > 0 {
+		f.loseAnswers--
 		return kvstore.Entry{}, kvstore.ErrAmbiguous
 	}
 	return e, err
 }
 
-func newStore(t *testing.T) *flaky {
+func newStore(t *testing.T) *faultyStore {
 	server := httptest.NewServer(kv.New())
 	t.Cleanup(server.Close)
-	return &flaky{Store: kvstore.NewClient(server.URL)}
+	return &faultyStore{Store: kvstore.NewClient(server.URL)}
 }
 
 func newTable(store kvstore.Store) *ledger.Table[int] {
@@ -58,7 +58,7 @@
 	t.Parallel()
 	store := newStore(t)
 	table := newTable(store)
-	store.lose, store.refuse = 2, 1
+	store.loseAnswers, store.dropWrites = 2, 1
 	for want := 1; want <= 3; want++ {
 		got, err := table.Update(context.Background(), "a", increment)
 		must.NoError(t, err)
@@ -91,7 +91,7 @@
 func TestUpdateReportsAnUnreachableStore(t *testing.T) {
 	t.Parallel()
 	store := newStore(t)
-	store.refuse = 1_000
+	store.dropWrites = 1_000
 	_, err := newTable(store).Update(context.Background(), "a", increment)
 	must.True(t, errors.Is(err, kvstore.ErrUnavailable))
 	_, found, err := newTable(store).Read(context.Background(), "a")
--- a/intake/ledger/shard.go
+++ b/intake/ledger/shard.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	callTimeout = 4 * time.Second // of one call to the store
-	maxAttempts = 12              // of one group of updates
-	readsPerGap = 4               // reads of one shard by one host, per gap between writes
+	callTimeout           = 4 * time.Second // of one call to the store
+	maxWriteAttempts      = 12              // of one group of updates
+	readsPerWriteInterval = 4               // reads of one shard by one host, per gap between writes
 )
 
 type result[V any] struct {
@@ -26,10 +26,10 @@
 }
 
 type update[V any] struct {
-	key    string
-	change Change[V]
-	done   chan result[V] // buffered: the committer never waits for a caller
-	gone   func() bool    // the caller no longer waits
+	key       string
+	change    Change[V]
+	done      chan result[V] // buffered: the committer never waits for a caller
+	cancelled func() bool    // the caller no longer waits
 }
 
 // shard is one value of the store. At most one write of it is under way here.
@@ -41,7 +41,7 @@
 	page       page[V]
 	version    uint64
 	confirmed  time.Time
-	known      bool
+	loaded     bool
 	pending    []*update[V]
 	committing bool
 	reading    bool         // a read is under way
@@ -54,18 +54,18 @@
 	err  error
 }
 
-func (s *shard[V]) seen() (page[V], time.Time, bool) {
+func (s *shard[V]) snapshot() (page[V], time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.page, s.confirmed, s.known
+	return s.page, s.confirmed, s.loaded
 }
 
-// adopt takes over an entry read from the store, unless a newer one is known.
-func (s *shard[V]) adopt(e kvstore.Entry, asked time.Time) (page[V], error) {
+// applyRead takes over an entry read from the store, unless a newer one is known.
+func (s *shard[V]) applyRead(e kvstore.Entry, asked time.Time) (page[V], error) {
 	s.mu.Lock()
-	if s.known && e.Version == s.version {
+	if s.loaded && e.Version == s.version {
 		defer s.mu.Unlock()
-		s.confirmed = later(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, asked)
 		return s.page, nil
 	}
 	s.mu.Unlock()
@@ -79,20 +79,20 @@
 
 func (s *shard[V]) install(p page[V], version uint64, asked time.Time) {
 	s.mu.Lock()
-	newer := !s.known || version > s.version
+	newer := !s.loaded || version > s.version
 	if newer {
-		s.page, s.version, s.known = p, version, true
+		s.page, s.version, s.loaded = p, version, true
 	}
 	if version >= s.version {
-		s.confirmed = later(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, asked)
 	}
 	s.mu.Unlock()
 	if newer {
-		s.t.announce()
+		s.t.notifyChanged()
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return page[V]{}, err
 	}
-	return s.adopt(e, asked)
+	return s.applyRead(e, asked)
 }
 
 // read returns the shard as it is at some moment after the call. It joins a
@@ -151,15 +151,15 @@
 		s.mu.Unlock()
 		call.page, call.err = s.fetch(context.Background())
 		close(call.done)
-		time.Sleep(s.t.o.WriteInterval / readsPerGap)
+		time.Sleep(s.t.o.WriteInterval / readsPerWriteInterval)
 	}
 }
 
-// follow watches the shard until ctx ends.
-func (s *shard[V]) follow(ctx context.Context) {
+// watchUntilDone watches the shard until ctx ends.
+func (s *shard[V]) watchUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		after, known := s.version, s.known
+		after, known := s.version, s.loaded
 		s.mu.Unlock()
 		var err error
 		if !known {
@@ -168,7 +168,7 @@
 			err = s.watch(ctx, after)
 		}
 		if err != nil {
-			pause.For(ctx, retryDelay)
+			pause.For(ctx, watchRetryDelay)
 		}
 	}
 }
@@ -180,13 +180,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.adopt(e, asked)
+	_, err = s.applyRead(e, asked)
 	return err
 }
 
 func (s *shard[V]) update(ctx context.Context, key string, change Change[V]) (V, error) {
 	u := &update[V]{key: key, change: change, done: make(chan result[V], 1)}
-	u.gone = func() bool { return ctx.Err() != nil }
+	u.cancelled = func() bool { return ctx.Err() != nil }
 	s.mu.Lock()
 	s.pending = append(s.pending, u)
 	if !s.committing {
@@ -220,33 +220,33 @@
 	}
 }
 
-// attempt is a write of a group whose effect is not known.
-type attempt[V any] struct {
+// writeAttempt is a write of a group whose effect is not known.
+type writeAttempt[V any] struct {
 	nonce   string
 	results []result[V]
 }
 
 // commit writes one group. An answer that was lost is settled by reading back.
 func (s *shard[V]) commit(group []*update[V]) {
-	var tried []attempt[V]
+	var tried []writeAttempt[V]
 	var err error
-	for n := range maxAttempts {
+	for n := range maxWriteAttempts {
 		if n > 0 {
 			time.Sleep(mathrand.N(s.t.o.WriteInterval * time.Duration(min(n, 4)) / 2))
 		}
 		var base page[V]
-		base, err = s.base(n > 0)
+		base, err = s.basePage(n > 0)
 		if err != nil {
 			continue
 		}
-		if results, landed := landed(tried, base); landed {
-			deliver(group, results)
+		if results, landed := findApplied(tried, base); landed {
+			deliverResults(group, results)
 			return
 		}
-		a := attempt[V]{nonce: rand.Text()}
+		a := writeAttempt[V]{nonce: rand.Text()}
 		a.results, err = s.write(group, a.nonce)
 		if err == nil {
-			deliver(group, a.results)
+			deliverResults(group, a.results)
 			return
 		}
 		if errors.Is(err, kvstore.ErrAmbiguous) {
@@ -262,19 +262,19 @@
 	}
 }
 
-// landed finds the earlier attempt that the page shows to have taken effect.
-func landed[V any](tried []attempt[V], p page[V]) ([]result[V], bool) {
+// findApplied finds the earlier attempt that the page shows to have taken effect.
+func findApplied[V any](tried []writeAttempt[V], p page[V]) ([]result[V], bool) {
 	for _, a := range tried {
-		if p.wrote(a.nonce) {
+		if p.hasNonce(a.nonce) {
 			return a.results, true
 		}
 	}
 	return nil, false
 }
 
-// base returns the page to write upon, read anew after a failed attempt.
-func (s *shard[V]) base(fresh bool) (page[V], error) {
-	p, _, known := s.seen()
+// basePage returns the page to write upon, read anew after a failed attempt.
+func (s *shard[V]) basePage(fresh bool) (page[V], error) {
+	p, _, known := s.snapshot()
 	if known && !fresh {
 		return p, nil
 	}
@@ -287,10 +287,10 @@
 	s.mu.Lock()
 	base, version := s.page, s.version
 	s.mu.Unlock()
-	next := base.with(nonce)
+	next := base.copyWithNonce(nonce)
 	results, changed := apply(group, next.Entries)
 	if !changed {
-		return s.confirm(group)
+		return s.confirmUnchanged(group)
 	}
 	value, err := encode(next)
 	if err != nil {
@@ -302,7 +302,7 @@
 	s.t.writes.Inc()
 	e, err := s.t.o.Store.CompareAndSwap(ctx, s.key, value, version)
 	if errors.Is(err, kvstore.ErrConflict) {
-		s.t.clashes.Inc()
+		s.t.conflicts.Inc()
 	}
 	if err != nil {
 		return results, err
@@ -311,20 +311,20 @@
 	return results, nil
 }
 
-// confirm answers a group without effect, once the page is known to be current.
-func (s *shard[V]) confirm(group []*update[V]) ([]result[V], error) {
+// confirmUnchanged answers a group without effect, once the page is known to be current.
+func (s *shard[V]) confirmUnchanged(group []*update[V]) ([]result[V], error) {
 	fresh, err := s.fetch(context.Background())
 	if err != nil {
 		return nil, err
 	}
-	results, changed := apply(group, fresh.with("").Entries)
+	results, changed := apply(group, fresh.copyWithNonce("").Entries)
 	if changed {
 		return nil, errors.Mark(errors.New("the shard changed meanwhile"), kvstore.ErrConflict)
 	}
 	return results, nil
 }
 
-func deliver[V any](group []*update[V], results []result[V]) {
+func deliverResults[V any](group []*update[V], results []result[V]) {
 	for i, u := range group {
 		u.done <- results[i]
 	}
@@ -335,7 +335,7 @@
 func apply[V any](group []*update[V], entries map[string]V) (results []result[V], changed bool) {
 	results = make([]result[V], len(group))
 	for i, u := range group {
-		if u.gone() {
+		if u.cancelled() {
 			continue
 		}
 		old, found := entries[u.key]
--- a/intake/ledger/table.go
+++ b/intake/ledger/table.go
@@ -21,8 +21,8 @@
 	DefaultShards = 4
 	// DefaultWriteInterval is the least time between two writes of one shard by one host.
 	DefaultWriteInterval = 200 * time.Millisecond
-	// retryDelay is how long a failed watch rests before the next.
-	retryDelay = 500 * time.Millisecond
+	// watchRetryDelay is how long a failed watch rests before the next.
+	watchRetryDelay = 500 * time.Millisecond
 )
 
 // TableOptions configures a table.
@@ -40,13 +40,13 @@
 // arrive while a shard's write is under way are written together by the next
 // one. It is safe for concurrent use, by many hosts at once.
 type Table[V any] struct {
-	o       TableOptions
-	shards  []*shard[V]
-	mu      sync.Mutex
-	changed chan struct{}
-	writes  *metrics.Counter
-	reads   *metrics.Counter
-	clashes *metrics.Counter
+	o         TableOptions
+	shards    []*shard[V]
+	mu        sync.Mutex
+	changed   chan struct{}
+	writes    *metrics.Counter
+	reads     *metrics.Counter
+	conflicts *metrics.Counter
 }
 
 // NewTable returns a table; nothing is read until it is used or run.
@@ -61,11 +61,11 @@
 	o.Logger = defaults.Logger(o.Logger)
 	o.Metrics = defaults.Metrics(o.Metrics)
 	t := &Table[V]{
-		o:       o,
-		changed: make(chan struct{}),
-		writes:  o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_writes_total"),
-		reads:   o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_reads_total"),
-		clashes: o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_conflicts_total"),
+		o:         o,
+		changed:   make(chan struct{}),
+		writes:    o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_writes_total"),
+		reads:     o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_reads_total"),
+		conflicts: o.Metrics.GetOrCreateCounter("cyclamentray_intake_ledger_conflicts_total"),
 	}
 	for i := range o.Shards {
 		t.shards = append(t.shards, &shard[V]{t: t, key: fmt.Sprintf("%s/%d", o.Prefix, i)})
@@ -129,7 +129,7 @@
 	entries = make(map[string]V)
 	complete = true
 	for i, s := range t.shards {
-		p, at, known := s.seen()
+		p, at, known := s.snapshot()
 		maps.Copy(entries, p.Entries)
 		complete = complete && known
 		if i == 0 || at.Before(confirmed) {
@@ -146,7 +146,7 @@
 	return t.changed
 }
 
-func (t *Table[V]) announce() {
+func (t *Table[V]) notifyChanged() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	close(t.changed)
@@ -158,7 +158,7 @@
 	var g errgroup.Group
 	for _, s := range t.shards {
 		g.Go(func() error {
-			s.follow(ctx)
+			s.watchUntilDone(ctx)
 			return nil
 		})
 	}
--- a/intake/linear_test.go
+++ b/intake/linear_test.go
@@ -70,16 +70,16 @@
 	return s
 }
 
-func (s jobState) shows(out jobOutput) bool {
+func (s jobState) matches(out jobOutput) bool {
 	return s.exists && s.variant == out.variant && s.cancelled == out.cancelled
 }
 
-// jobStep lists the states that a call's answer allows.
-func jobStep(s jobState, in jobInput, out jobOutput) []any {
+// nextStates lists the states that a call's answer allows.
+func nextStates(s jobState, in jobInput, out jobOutput) []any {
 	after := map[call]jobState{submitting: s.create(in.variant), finding: s, cancelling: s.cancel()}[in.call]
 	switch {
 	case out.kind == "":
-		if after.shows(out) && (in.call != submitting || out.variant == in.variant) {
+		if after.matches(out) && (in.call != submitting || out.variant == in.variant) {
 			return []any{after}
 		}
 	case out.kind == apierr.Conflict:
@@ -115,7 +115,7 @@
 	},
 	Init: func() []any { return []any{jobState{}} },
 	Step: func(state, input, output any) []any {
-		return jobStep(state.(jobState), input.(jobInput), output.(jobOutput))
+		return nextStates(state.(jobState), input.(jobInput), output.(jobOutput))
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(input, output any) string {
@@ -125,19 +125,19 @@
 
 // caller makes random calls through its own entry host.
 type caller struct {
-	in     *intake.Intake
-	random *rand.Rand
-	client int
-	began  time.Time
-	calls  []porcupine.Operation
+	in           *intake.Intake
+	random       *rand.Rand
+	client       int
+	historyStart time.Time
+	calls        []porcupine.Operation
 }
 
 func (c *caller) run(calls, names int) {
 	for range calls {
 		in := jobInput{call: call(c.random.IntN(3)), name: fmt.Sprint("job-", c.random.IntN(names)), variant: c.random.IntN(2)}
-		began := time.Since(c.began)
+		began := time.Since(c.historyStart)
 		out := c.make(in)
-		ended := int64(time.Since(c.began))
+		ended := int64(time.Since(c.historyStart))
 		if out.kind == apierr.OutcomeUnknown {
 			ended = math.MaxInt64 // it may yet take effect
 		}
@@ -195,7 +195,7 @@
 		}
 		ledgers := ledger.New(ledger.Options{Store: store, WriteInterval: 10 * time.Millisecond, Logger: quiet})
 		in := intake.New(intake.Options{FailureDomain: "fd1", Ledgers: ledgers, Config: s, Membership: s, Election: s, Now: s.clock, Logger: quiet})
-		c := &caller{in: in, random: rand.New(rand.NewPCG(seed, uint64(client+1))), client: client, began: began}
+		c := &caller{in: in, random: rand.New(rand.NewPCG(seed, uint64(client+1))), client: client, historyStart: began}
 		all = append(all, c)
 		running.Go(func() { c.run(calls, names) })
 	}
--- a/intake/keep.go
+++ b/intake/maintain.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// permitsLapse is how long after a failure domain was seen out of service
+	// permitLapseDelay is how long after a failure domain was seen out of service
 	// its start permits have surely lapsed: the permit's age and the hold of
 	// a reservation, with a margin.
-	permitsLapse = 5 * time.Second
-	// unservedPatience is how long a failure domain may be without a scheduler
+	permitLapseDelay = 5 * time.Second
+	// maxTimeWithoutScheduler is how long a failure domain may be without a scheduler
 	// before its queued jobs go elsewhere.
-	unservedPatience = time.Minute
-	// pruneGroup bounds the records pruned in one round.
-	pruneGroup = 500
+	maxTimeWithoutScheduler = time.Minute
+	// maxPrunedPerRound bounds the records pruned in one round.
+	maxPrunedPerRound = 500
 )
 
 // prune drops ended jobs after their retention: from the index first, so that
@@ -45,21 +45,21 @@
 		}
 	}
 	sort.Strings(old)
-	if len(old) > pruneGroup {
-		old = old[:pruneGroup]
+	if len(old) > maxPrunedPerRound {
+		old = old[:maxPrunedPerRound]
 	}
 	var g errgroup.Group
 	for _, key := range old {
-		g.Go(func() error { return in.pruneOne(ctx, key, records[key]) })
+		g.Go(func() error { return in.pruneJob(ctx, key, records[key]) })
 	}
 	if err := g.Wait(); err != nil {
 		in.o.Logger.Warn("pruning is put off", "err", err.Error())
 	}
 }
 
-// pruneOne drops one record. The index must not lead to a record that is gone:
+// pruneJob drops one record. The index must not lead to a record that is gone:
 // a job that moved on is looked up where it went.
-func (in *Intake) pruneOne(ctx context.Context, key string, rec job.Record) error {
+func (in *Intake) pruneJob(ctx context.Context, key string, rec job.Record) error {
 	here := in.o.FailureDomain
 	_, err := in.o.Ledgers.Index().Update(ctx, key, func(old ledger.Claim, found bool) (ledger.Claim, bool, error) {
 		if !found || old.FailureDomain != here {
@@ -78,52 +78,52 @@
 	return err
 }
 
-// move takes queued jobs out of failure domains that start nothing. The write
+// moveQueuedJobs takes queued jobs out of failure domains that start nothing. The write
 // that marks a job as moved is what keeps it from being placed there later, as
 // a placement is recorded before anything starts.
-func (in *Intake) move(ctx context.Context) {
+func (in *Intake) moveQueuedJobs(ctx context.Context) {
 	snap, _ := in.o.Config.Current()
-	for _, domain := range in.closed(snap) {
-		if in.mover(snap, domain) != in.o.FailureDomain {
+	for _, domain := range in.domainsNotStarting(snap) {
+		if in.movingDomain(snap, domain) != in.o.FailureDomain {
 			continue
 		}
-		if !snap.FailureDomains[domain].Out && !in.termFree(ctx, domain) {
+		if !snap.FailureDomains[domain].Out && !in.termIsFree(ctx, domain) {
 			continue
 		}
-		if err := in.moveAll(ctx, snap, domain); err != nil {
+		if err := in.moveQueuedJobsFrom(ctx, snap, domain); err != nil {
 			in.o.Logger.Warn("queued jobs were not moved; it is tried again", "failureDomain", domain, "err", err.Error())
 		}
 	}
 }
 
-// termFree asks the platform whether nobody holds a failure domain's term: a
+// termIsFree asks the platform whether nobody holds a failure domain's term: a
 // scheduler that only this host does not reach keeps its jobs.
-func (in *Intake) termFree(ctx context.Context, domain string) bool {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+func (in *Intake) termIsFree(ctx context.Context, domain string) bool {
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	e, err := in.o.Ledgers.Store().Get(ctx, election.Key(domain))
 	return errors.Is(err, kvstore.ErrNotFound) || (err == nil && e.Lease == "")
 }
 
-// closed lists failure domains that have started nothing for long enough.
-func (in *Intake) closed(snap *config.Snapshot) []string {
+// domainsNotStarting lists failure domains that have started nothing for long enough.
+func (in *Intake) domainsNotStarting(snap *config.Snapshot) []string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	now := in.o.Now()
 	var out []string
 	for name, d := range snap.FailureDomains {
 		if !d.Out && in.o.HasScheduler(name) {
-			delete(in.since, name)
+			delete(in.notStartingSince, name)
 			continue
 		}
-		if in.since[name].IsZero() {
-			in.since[name] = now
+		if in.notStartingSince[name].IsZero() {
+			in.notStartingSince[name] = now
 		}
-		patience := unservedPatience
+		delay := maxTimeWithoutScheduler
 		if d.Out {
-			patience = permitsLapse
+			delay = permitLapseDelay
 		}
-		if now.Sub(in.since[name]) >= patience {
+		if now.Sub(in.notStartingSince[name]) >= delay {
 			out = append(out, name)
 		}
 	}
@@ -131,8 +131,8 @@
 	return out
 }
 
-// mover picks one open failure domain, whose scheduler moves the jobs.
-func (in *Intake) mover(snap *config.Snapshot, closed string) string {
+// movingDomain picks one open failure domain, whose scheduler moves the jobs.
+func (in *Intake) movingDomain(snap *config.Snapshot, closed string) string {
 	best, top := "", uint64(0)
 	for name, d := range snap.FailureDomains {
 		if d.Out || !in.o.HasScheduler(name) {
@@ -146,7 +146,7 @@
 	return best
 }
 
-func (in *Intake) moveAll(ctx context.Context, snap *config.Snapshot, from string) error {
+func (in *Intake) moveQueuedJobsFrom(ctx context.Context, snap *config.Snapshot, from string) error {
 	records, err := in.o.Ledgers.Jobs(from).ReadAll(ctx)
 	if err != nil {
 		return err
@@ -158,11 +158,11 @@
 		if !movable(rec) {
 			continue
 		}
-		to, err := in.choose(ctx, snap, rec)
+		to, err := in.chooseDomain(ctx, snap, rec)
 		if err != nil || to == from || snap.FailureDomains[to].Out {
 			continue
 		}
-		g.Go(func() error { return in.moveOne(ctx, key, from, to, "failure domain "+from+" starts nothing") })
+		g.Go(func() error { return in.moveJob(ctx, key, from, to, "failure domain "+from+" starts nothing") })
 	}
 	return g.Wait()
 }
@@ -172,7 +172,7 @@
 	return rec.State == job.Queued && rec.CancelBy == "" && rec.Spec.FailureDomain == ""
 }
 
-func (in *Intake) moveOne(ctx context.Context, key, from, to, reason string) error {
+func (in *Intake) moveJob(ctx context.Context, key, from, to, reason string) error {
 	now := in.o.Now()
 	left, err := in.o.Ledgers.Jobs(from).Update(ctx, key, func(old job.Record, found bool) (job.Record, bool, error) {
 		if !found || !movable(old) {
@@ -186,13 +186,13 @@
 	if err != nil || left.State != job.Moved {
 		return err
 	}
-	return in.arrive(ctx, key, from, left)
+	return in.completeMove(ctx, key, from, left)
 }
 
-// arrive completes a move: the record in its new ledger, then the index, then
+// completeMove completes a move: the record in its new ledger, then the index, then
 // the note that nothing is left to do. Any step may be repeated by any host.
-func (in *Intake) arrive(ctx context.Context, key, from string, left job.Record) error {
-	if _, err := in.create(ctx, left.MovedTo, arrived(left, in.o.Now())); err != nil {
+func (in *Intake) completeMove(ctx context.Context, key, from string, left job.Record) error {
+	if _, err := in.create(ctx, left.MovedTo, movedRecord(left, in.o.Now())); err != nil {
 		return err
 	}
 	_, err := in.o.Ledgers.Index().Update(ctx, key, func(old ledger.Claim, found bool) (ledger.Claim, bool, error) {
@@ -216,8 +216,8 @@
 	var g errgroup.Group
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
-		if rec.State == job.Moved && !rec.Arrived && in.o.Now().Sub(rec.Ended) >= permitsLapse {
-			g.Go(func() error { return in.arrive(ctx, key, from, rec) })
+		if rec.State == job.Moved && !rec.Arrived && in.o.Now().Sub(rec.Ended) >= permitLapseDelay {
+			g.Go(func() error { return in.completeMove(ctx, key, from, rec) })
 		}
 	}
 	if err := g.Wait(); err != nil {
--- a/intake/peers.go
+++ b/intake/peers.go
@@ -12,9 +12,9 @@
 	Known  bool
 }
 
-// askPeers asks the entry hosts of a failure domain why a job waits; only the
+// askHoldReason asks the entry hosts of a failure domain why a job waits; only the
 // one that schedules knows.
-func (in *Intake) askPeers(ctx context.Context, domain string, id job.ID) (string, bool) {
+func (in *Intake) askHoldReason(ctx context.Context, domain string, id job.ID) (string, bool) {
 	if in.o.Peers == nil {
 		return "", false
 	}
@@ -22,7 +22,7 @@
 		if h.FailureDomain != domain {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+		ctx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 		var reply holdReply
 		err := in.o.Peers.Call(ctx, h.PeerAddress, methodHold, id, &reply)
 		cancel()
--- a/intake/pull.go
+++ b/intake/pull.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// pullEvery is the time between two looks at other failure domains' queues.
-	pullEvery = 10 * time.Second
-	// heldFor is how long a job has waited where it is before another failure
+	// pullInterval is the time between two looks at other failure domains' queues.
+	pullInterval = 10 * time.Second
+	// minQueuedTime is how long a job has waited where it is before another failure
 	// domain may take it.
-	heldFor = 15 * time.Second
-	// movedRest is the least time between two moves of one job.
-	movedRest = 10 * time.Minute
+	minQueuedTime = 15 * time.Second
+	// minTimeBetweenMoves is the least time between two moves of one job.
+	minTimeBetweenMoves = 10 * time.Minute
 )
 
 // pull takes over queued jobs of failure domains in service that this one could
@@ -26,10 +26,10 @@
 	now := in.o.Now()
 	snap, _ := in.o.Config.Current()
 	here := snap.FailureDomains[in.o.FailureDomain]
-	if in.o.SelectStartable == nil || here.Out || now.Sub(in.pulled) < pullEvery || in.waiting() {
+	if in.o.SelectStartable == nil || here.Out || now.Sub(in.lastPull) < pullInterval || in.hasQueuedJobs() {
 		return
 	}
-	in.pulled = now
+	in.lastPull = now
 	for _, from := range sortedKeys(snap.FailureDomains) {
 		if from == here.Name || snap.FailureDomains[from].Out || !in.o.HasScheduler(from) {
 			continue
@@ -40,8 +40,8 @@
 	}
 }
 
-// waiting reports whether a job is queued in this failure domain.
-func (in *Intake) waiting() bool {
+// hasQueuedJobs reports whether a job is queued in this failure domain.
+func (in *Intake) hasQueuedJobs() bool {
 	records, _, complete := in.o.Ledgers.Jobs(in.o.FailureDomain).Snapshot()
 	for _, rec := range records {
 		if rec.State == job.Queued {
@@ -58,7 +58,7 @@
 	}
 	var offered []job.Record
 	for _, key := range sortedKeys(records) {
-		if rec := records[key]; movable(rec) && in.rested(rec) {
+		if rec := records[key]; movable(rec) && in.queuedLongEnough(rec) {
 			offered = append(offered, rec)
 		}
 	}
@@ -68,21 +68,21 @@
 	var g errgroup.Group
 	for _, id := range in.o.SelectStartable(ctx, offered) {
 		g.Go(func() error {
-			return in.moveOne(ctx, id.String(), from, in.o.FailureDomain, "failure domain "+in.o.FailureDomain+" has room for it")
+			return in.moveJob(ctx, id.String(), from, in.o.FailureDomain, "failure domain "+in.o.FailureDomain+" has room for it")
 		})
 	}
 	return g.Wait()
 }
 
-// rested reports whether a queued job has waited long enough where it is.
-func (in *Intake) rested(rec job.Record) bool {
+// queuedLongEnough reports whether a queued job has waited long enough where it is.
+func (in *Intake) queuedLongEnough(rec job.Record) bool {
 	since := rec.Submitted
 	if n := len(rec.History); n > 0 {
 		since = rec.History[n-1].At
 	}
-	rest := heldFor
+	required := minQueuedTime
 	if rec.Moves > 0 {
-		rest = movedRest
+		required = minTimeBetweenMoves
 	}
-	return in.o.Now().Sub(since) >= rest
+	return in.o.Now().Sub(since) >= required
 }
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -15,8 +15,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// taker returns the intake of a host whose scheduler has room for the named jobs.
-func (s *site) taker(t *testing.T, domain string, names ...string) *intake.Intake {
+// pullingHost returns the intake of a host whose scheduler has room for the named jobs.
+func (s *site) pullingHost(t *testing.T, domain string, names ...string) *intake.Intake {
 	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -52,7 +52,7 @@
 		_, err := in.Submit(ctx, org, sp)
 		must.NoError(t, err)
 	}
-	held := func(domain string) []string {
+	queuedIn := func(domain string) []string {
 		records, err := ledgers.Jobs(domain).ReadAll(ctx)
 		must.NoError(t, err)
 		for key, rec := range records {
@@ -63,27 +63,27 @@
 		return slices.Sorted(maps.Keys(records))
 	}
 	all := []string{"org/svc/pinned", "org/svc/stays", "org/svc/waits"}
-	other := s.taker(t, "fd2", "waits", "pinned")
+	other := s.pullingHost(t, "fd2", "waits", "pinned")
 	for range 20 {
-		s.pass(time.Minute)
+		s.advanceClock(time.Minute)
 		other.Maintain(ctx)
-		must.Eq(t, all, held("fd1"), must.Sprint("fd2 is out"))
+		must.Eq(t, all, queuedIn("fd1"), must.Sprint("fd2 is out"))
 		time.Sleep(10 * time.Millisecond) // its own ledger is read meanwhile
 	}
 
 	s.edit(func(c *config.Snapshot) {
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2"}}
 	})
-	keepUntil := func(in *intake.Intake, step time.Duration, domain string, jobs []string) {
-		for deadline := time.Now().Add(20 * time.Second); !slices.Equal(held(domain), jobs); time.Sleep(10 * time.Millisecond) {
+	maintainUntil := func(in *intake.Intake, step time.Duration, domain string, jobs []string) {
+		for deadline := time.Now().Add(20 * time.Second); !slices.Equal(queuedIn(domain), jobs); time.Sleep(10 * time.Millisecond) {
 			must.True(t, time.Now().Before(deadline), must.Sprint("gave up waiting for ", jobs, " in ", domain))
-			s.pass(step)
+			s.advanceClock(step)
 			in.Maintain(ctx)
 		}
 	}
-	keepUntil(other, time.Second, "fd2", all[2:])
+	maintainUntil(other, time.Second, "fd2", all[2:])
 	movedAt := s.clock()
-	must.Eq(t, all[:2], held("fd1"))
+	must.Eq(t, all[:2], queuedIn("fd1"))
 	rec, err := in.Find(ctx, org, spec("waits").ID)
 	must.NoError(t, err)
 	must.EqOp(t, "fd2", rec.FailureDomain)
@@ -92,6 +92,6 @@
 		_, err := in.Cancel(ctx, org, sp.ID)
 		must.NoError(t, err)
 	}
-	keepUntil(s.taker(t, "fd1", "waits"), 15*time.Second, "fd1", all[2:])
+	maintainUntil(s.pullingHost(t, "fd1", "waits"), 15*time.Second, "fd1", all[2:])
 	must.GreaterEq(t, 10*time.Minute, s.clock().Sub(movedAt))
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -14,8 +14,8 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// maxMoves bounds how far a moved job is followed.
-const maxMoves = 8
+// maxFollowedMoves bounds how far a moved job is followed.
+const maxFollowedMoves = 8
 
 // Submit takes a job, or finds the one that its ID names already. A nil error
 // means that the job is in the ledger.
@@ -27,12 +27,12 @@
 }
 
 func (in *Intake) submitHere(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	rec, err := in.submit(ctx, who, spec)
 	if err != nil {
 		in.refused.Inc()
-		return job.Record{}, explainStore(err)
+		return job.Record{}, storeError(err)
 	}
 	in.submitted.Inc()
 	return rec, nil
@@ -42,13 +42,13 @@
 	snap, _ := in.o.Config.Current()
 	rec, err := checkSpec(snap, who, spec)
 	if err != nil {
-		return in.repeated(ctx, who, spec, err)
+		return in.findRepeated(ctx, who, spec, err)
 	}
-	domain, err := in.choose(ctx, snap, rec)
+	domain, err := in.chooseDomain(ctx, snap, rec)
 	if err != nil {
-		return in.repeated(ctx, who, spec, err)
+		return in.findRepeated(ctx, who, spec, err)
 	}
-	claim, err := in.claim(ctx, spec, domain)
+	claim, err := in.claimID(ctx, spec, domain)
 	if err != nil {
 		return job.Record{}, err
 	}
@@ -59,9 +59,9 @@
 	return in.create(ctx, claim.FailureDomain, rec)
 }
 
-// repeated answers a submission that would be refused now with the job that it
+// findRepeated answers a submission that would be refused now with the job that it
 // made earlier, if there is one.
-func (in *Intake) repeated(ctx context.Context, who auth.Identity, spec job.Spec, refusal error) (job.Record, error) {
+func (in *Intake) findRepeated(ctx context.Context, who auth.Identity, spec job.Spec, refusal error) (job.Record, error) {
 	if apierr.KindOf(refusal) != apierr.Retired && apierr.KindOf(refusal) != apierr.Infeasible {
 		return job.Record{}, refusal
 	}
@@ -72,8 +72,8 @@
 	return rec, nil
 }
 
-// claim binds the ID to a failure domain, once and for all hosts.
-func (in *Intake) claim(ctx context.Context, spec job.Spec, domain string) (ledger.Claim, error) {
+// claimID binds the ID to a failure domain, once and for all hosts.
+func (in *Intake) claimID(ctx context.Context, spec job.Spec, domain string) (ledger.Claim, error) {
 	digest := ledger.Digest(spec)
 	now := in.o.Now()
 	return in.o.Ledgers.Index().Update(ctx, spec.ID.String(), func(old ledger.Claim, found bool) (ledger.Claim, bool, error) {
@@ -95,12 +95,12 @@
 // create puts the record into a ledger unless the job is there, and follows it
 // when it has moved on.
 func (in *Intake) create(ctx context.Context, domain string, rec job.Record) (job.Record, error) {
-	for range maxMoves {
+	for range maxFollowedMoves {
 		rec.FailureDomain = domain
 		got, err := in.o.Ledgers.Jobs(domain).Update(ctx, rec.Spec.ID.String(),
 			func(old job.Record, found bool) (job.Record, bool, error) {
-				back := old.State == job.Moved && old.Moves < rec.Moves
-				if !found || back {
+				returned := old.State == job.Moved && old.Moves < rec.Moves
+				if !found || returned {
 					return rec, true, nil
 				}
 				return old, true, nil
@@ -109,13 +109,13 @@
 			return got, err
 		}
 		domain = got.MovedTo
-		rec = arrived(got, in.o.Now())
+		rec = movedRecord(got, in.o.Now())
 	}
 	return job.Record{}, apierr.New(apierr.Unavailable, "the job moves between failure domains", "ask again shortly")
 }
 
-// arrived returns a moved job's record as it begins in its new ledger.
-func arrived(left job.Record, now time.Time) job.Record {
+// movedRecord returns a moved job's record as it begins in its new ledger.
+func movedRecord(left job.Record, now time.Time) job.Record {
 	rec := left
 	rec.MovedTo, rec.Arrived = "", false
 	rec.Moves++
@@ -129,7 +129,7 @@
 // is not found.
 func (in *Intake) Find(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	rec, _, err := in.locate(ctx, who, id)
-	return rec, explainStore(err)
+	return rec, storeError(err)
 }
 
 func errNoJob(id job.ID) error {
@@ -147,19 +147,19 @@
 	if !found {
 		return job.Record{}, "", errNoJob(id)
 	}
-	return in.follow(ctx, claim.FailureDomain, id)
+	return in.followMoves(ctx, claim.FailureDomain, id)
 }
 
-// follow reads a job's record from the ledger that has it now.
-func (in *Intake) follow(ctx context.Context, domain string, id job.ID) (job.Record, string, error) {
+// followMoves reads a job's record from the ledger that has it now.
+func (in *Intake) followMoves(ctx context.Context, domain string, id job.ID) (job.Record, string, error) {
 	var left job.Record
-	for range maxMoves {
+	for range maxFollowedMoves {
 		rec, found, err := in.o.Ledgers.Jobs(domain).Read(ctx, id.String())
 		switch {
 		case err != nil:
 			return job.Record{}, "", err
 		case !found && left.MovedTo != "":
-			return arrived(left, in.o.Now()), domain, nil // the move is half done
+			return movedRecord(left, in.o.Now()), domain, nil // the move is half done
 		case !found:
 			return job.Record{}, "", errNoJob(id)
 		case rec.State != job.Moved:
@@ -180,11 +180,11 @@
 }
 
 func (in *Intake) cancelHere(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	_, domain, err := in.locate(ctx, who, id)
 	if err != nil {
-		return job.Record{}, explainStore(err)
+		return job.Record{}, storeError(err)
 	}
 	by := who.Organisation
 	if who.Operator {
@@ -204,11 +204,11 @@
 		}
 		return old, true, nil
 	})
-	return rec, explainStore(err)
+	return rec, storeError(err)
 }
 
-// explainStore turns the store's failures into errors with a remedy.
-func explainStore(err error) error {
+// storeError turns the store's failures into errors with a remedy.
+func storeError(err error) error {
 	var typed *apierr.Error
 	switch {
 	case err == nil:
