--- a/intake/bench_test.go
+++ b/intake/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// BenchmarkBurst submits 2,000 jobs at once over some entry hosts and cancels
-// them again, and reports the platform's calls and the time.
+// BenchmarkBurst submits 2,000 jobs concurrently over 1 or 7 entry hosts, cancels
+// them, and reports the calls to the store and the time of each phase.
 func BenchmarkBurst(b *testing.B) {
 	const burst = 2_000
 	for _, hosts := range []int{1, 7} {
--- a/intake/check.go
+++ b/intake/check.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// checkSpec compares a submission with its service's document. It returns the
-// record to keep, or every mistake found.
+// checkSpec checks a submission against its service's document. It returns the
+// record to store, or an error that lists every mistake in the shape and options.
 func checkSpec(snap *config.Snapshot, who auth.Identity, spec job.Spec) (job.Record, error) {
 	if err := checkID(who, spec.ID); err != nil {
 		return job.Record{}, err
@@ -35,13 +35,15 @@
 		"service "+service.Name+" has no job template "+spec.Template, "use a template of the service's document")
 }
 
+// checkID checks that an ID is complete and valid, and that the caller may use
+// its organisation.
 func checkID(who auth.Identity, id job.ID) error {
 	if id.Organisation == "" || id.Service == "" || id.Name == "" {
 		return apierr.Invalid("id", "organisation, service and name are needed", "fill in all three")
 	}
 	for _, part := range []string{id.Organisation, id.Service, id.Name} {
 		if !validName(part) {
-			return apierr.Invalid("id", fmt.Sprintf("%q is no valid name", part),
+			return apierr.Invalid("id", fmt.Sprintf("%q is not a valid name", part),
 				"use 1 to 100 letters, digits, dots, dashes and underscores")
 		}
 	}
@@ -67,9 +69,10 @@
 	return true
 }
 
+// adjacencyRank orders adjacencies from nearest to widest.
 var adjacencyRank = map[job.Adjacency]int{job.SameWorker: 0, job.SameRack: 1, job.SameFailureDomain: 2}
 
-// checkTemplate checks a spec against the bounds of its template.
+// checkTemplate checks a spec against the limits of its template.
 func checkTemplate(t config.JobTemplate, spec job.Spec) *apierr.Error {
 	var mistakes []*apierr.Error
 	addMistake := func(field, message, remedy string) {
@@ -86,11 +89,11 @@
 		addMistake("shape.acceleratorsPerTask", "it is negative", "use 0 or more")
 	} else if s.AcceleratorsPerTask > t.Shape.AcceleratorsPerTask {
 		addMistake("shape.acceleratorsPerTask",
-			fmt.Sprintf("%d accelerators a task; template %s allows %d", s.AcceleratorsPerTask, t.Name, t.Shape.AcceleratorsPerTask),
+			fmt.Sprintf("%d accelerators per task; template %s allows %d", s.AcceleratorsPerTask, t.Name, t.Shape.AcceleratorsPerTask),
 			"submit smaller tasks or another template")
 	}
 	if !s.Adjacency.Valid() {
-		addMistake("shape.adjacency", fmt.Sprintf("%q is no adjacency", s.Adjacency), "use worker, rack or failure-domain")
+		addMistake("shape.adjacency", fmt.Sprintf("%q is not an adjacency", s.Adjacency), "use worker, rack or failure-domain")
 	} else if adjacencyRank[s.Adjacency] < adjacencyRank[t.Shape.Adjacency] {
 		addMistake("shape.adjacency", fmt.Sprintf("%s is nearer than template %s allows, %s", s.Adjacency, t.Name, t.Shape.Adjacency),
 			"ask for the template's adjacency or a wider one")
@@ -99,7 +102,7 @@
 		addMistake("urgent", "template "+t.Name+" takes no urgent jobs", "leave urgent out or use another template")
 	}
 	if spec.Checkpoint && !t.Checkpoint {
-		addMistake("checkpoint", "tasks of template "+t.Name+" can not save their work", "leave checkpoint out")
+		addMistake("checkpoint", "tasks of template "+t.Name+" cannot save their work", "leave checkpoint out")
 	}
 	if spec.DeclaredRun < 0 {
 		addMistake("declaredRunNanos", "it is negative", "leave it out or use the expected run time")
@@ -107,7 +110,7 @@
 	return apierr.Join(mistakes)
 }
 
-// asError turns a nil *apierr.Error into a nil error.
+// asError converts e to an error: a nil *apierr.Error becomes a nil error.
 func asError(e *apierr.Error) error {
 	if e == nil {
 		return nil
--- a/intake/choose.go
+++ b/intake/choose.go
@@ -16,11 +16,12 @@
 type candidate struct {
 	name       string
 	guaranteed bool    // the organisation holds a guarantee there
-	local      bool    // this host's own
-	load       float64 // accelerators asked for over accelerators there
+	local      bool    // this host's own failure domain
+	load       float64 // requested accelerators divided by available ones
 }
 
-// betterThan orders candidates: guarantees first, then load, then the own one.
+// betterThan orders candidates by guarantee, then by load, then prefers the local
+// one, then by name.
 func (c candidate) betterThan(d candidate) bool {
 	if c.guaranteed != d.guaranteed {
 		return c.guaranteed
@@ -34,8 +35,10 @@
 	return c.name < d.name
 }
 
-// chooseDomain picks the failure domain for a new job: in service, with a scheduler,
-// able to hold the shape, best with the organisation's guarantee, least loaded.
+// chooseDomain returns the failure domain for a job. Its workers must be able to
+// hold the shape. Among those it prefers failure domains in service that have a
+// scheduler, then those where the organisation has a guarantee, then the least
+// loaded.
 func (in *Intake) chooseDomain(ctx context.Context, snap *config.Snapshot, rec job.Record) (string, error) {
 	var fitting []candidate
 	refusal := apierr.New(apierr.Infeasible, "no failure domain is configured", "have an operator apply one")
@@ -54,6 +57,7 @@
 	return in.bestCandidate(ctx, snap, rec, fitting)
 }
 
+// permittedDomains returns the names of the failure domains that a spec permits.
 func permittedDomains(snap *config.Snapshot, spec job.Spec) []string {
 	var out []string
 	for name := range snap.FailureDomains {
@@ -65,8 +69,8 @@
 	return out
 }
 
-// bestCandidate prefers failure domains that start jobs now. When none does, the job
-// waits in the bestCandidate of the others.
+// bestCandidate returns the best of the failure domains that start jobs at
+// present. When none does, it returns the best of all, and the job waits there.
 func (in *Intake) bestCandidate(ctx context.Context, snap *config.Snapshot, rec job.Record, fitting []candidate) (string, error) {
 	var usable []candidate
 	for _, c := range fitting {
@@ -112,27 +116,28 @@
 	return sum
 }
 
-// maxLoadAge is how long another failure domain's load is taken as read.
+// maxLoadAge is how long a load that was read is used before it is read again.
 const maxLoadAge = 10 * time.Second
 
+// load is the number of accelerators that a failure domain's jobs request.
 type load struct {
 	accelerators int
 	readAt       time.Time
 }
 
-// loadCache remembers how many accelerators each failure domain's jobs ask for.
-// It is safe for concurrent use.
+// loadCache caches the load of each failure domain. It is safe for concurrent use.
 type loadCache struct {
 	o        Options
 	mu       sync.Mutex
 	byDomain map[string]*load
-	readMu   sync.Mutex // one reader at a time; the others find its answer
+	readMu   sync.Mutex // held during a refresh, so that concurrent callers use one refresh
 }
 
 func newLoadCache(o Options) *loadCache { return &loadCache{o: o, byDomain: make(map[string]*load)} }
 
-// ratio returns the load over the capacity. An unreadable ledger keeps the last
-// known load: the choice is a preference only.
+// ratio returns a failure domain's load divided by its capacity. If its ledger
+// cannot be read, ratio uses the last known load, as the load only decides which
+// failure domain is preferred.
 func (l *loadCache) ratio(ctx context.Context, domain string, capacity int) float64 {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
@@ -153,6 +158,7 @@
 	return float64(k.accelerators) / float64(capacity)
 }
 
+// refresh reads a failure domain's load from its ledger.
 func (l *loadCache) refresh(ctx context.Context, domain string, now time.Time) {
 	records, err := l.records(ctx, domain)
 	l.mu.Lock()
@@ -174,6 +180,8 @@
 	}
 }
 
+// records returns a failure domain's jobs, for the local one from the snapshot if
+// that is complete.
 func (l *loadCache) records(ctx context.Context, domain string) (map[string]job.Record, error) {
 	jobs := l.o.Ledgers.Jobs(domain)
 	if records, _, complete := jobs.Snapshot(); complete && domain == l.o.FailureDomain {
@@ -182,7 +190,7 @@
 	return jobs.ReadAll(ctx)
 }
 
-// addJob counts a job just sent to a failure domain.
+// addJob adds a job that was just assigned to a failure domain to its load.
 func (l *loadCache) addJob(domain string, accelerators int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/intake/forward.go
+++ b/intake/forward.go
@@ -14,10 +14,10 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// forwardTimeout bounds a call to the entry host that writes for the others.
+// forwardTimeout is the timeout of a call to the writer host.
 const forwardTimeout = 2 * time.Second
 
-// Methods of the net/rpc service that entry hosts of a failure domain offer
+// Methods of the net/rpc service that entry hosts of a failure domain call on
 // each other.
 const (
 	peerService  = "Jobs"
@@ -25,21 +25,21 @@
 	methodCancel = peerService + ".Cancel"
 )
 
-// SubmitCall is a submission taken by another entry host.
+// SubmitCall is a submission that another entry host forwards.
 type SubmitCall struct {
 	Who   auth.Identity
 	Spec  job.Spec
 	Trace string // W3C traceparent of the caller
 }
 
-// CancelCall is a cancellation taken by another entry host.
+// CancelCall is a cancellation that another entry host forwards.
 type CancelCall struct {
 	Who   auth.Identity
 	ID    job.ID
 	Trace string // W3C traceparent of the caller
 }
 
-// JobReply answers both; Error is nil on success.
+// JobReply is the reply to a SubmitCall or CancelCall. Error is nil on success.
 type JobReply struct {
 	Record job.Record
 	Error  *apierr.Error
@@ -52,29 +52,32 @@
 	}
 }
 
-// RegisterPeer offers this host's writes to the other entry hosts.
+// RegisterPeer registers the methods by which other entry hosts forward calls to
+// this one with s.
 func (in *Intake) RegisterPeer(s *peer.Server) error {
 	return s.Register(peerService, &peerMethods{in})
 }
 
+// peerMethods serves the calls that other entry hosts forward.
 type peerMethods struct{ in *Intake }
 
-// Submit takes a job for another entry host.
+// Submit submits a job on behalf of another entry host.
 func (p *peerMethods) Submit(c SubmitCall, reply *JobReply) error {
-	reply.set(p.in.submitHere(telemetry.WithTraceParent(context.Background(), c.Trace), c.Who, c.Spec))
+	reply.set(p.in.submitLocal(telemetry.WithTraceParent(context.Background(), c.Trace), c.Who, c.Spec))
 	return nil
 }
 
-// Cancel cancels a job for another entry host.
+// Cancel cancels a job on behalf of another entry host.
 func (p *peerMethods) Cancel(c CancelCall, reply *JobReply) error {
-	reply.set(p.in.cancelHere(telemetry.WithTraceParent(context.Background(), c.Trace), c.Who, c.ID))
+	reply.set(p.in.cancelLocal(telemetry.WithTraceParent(context.Background(), c.Trace), c.Who, c.ID))
 	return nil
 }
 
-// forward hands a call to the host that writes for the failure domain, so that
-// a burst over many entry hosts is still written in few groups. ok is false
-// when this host is the one, or when the other did not answer: the call is then
-// made here, which is harmless, as it takes effect once for its ID.
+// forward sends a call to the failure domain's writer host, so that a burst over
+// many entry hosts is still written in few groups. ok is false when this host is
+// the writer host, or when the writer host did not answer. The caller then makes
+// the call locally; this is safe even if the writer host received it, as calls
+// are idempotent by job ID.
 func (in *Intake) forward(ctx context.Context, method string, args any) (rec job.Record, err error, ok bool) {
 	h, found := in.writerHost()
 	if !found {
@@ -92,12 +95,15 @@
 	return reply.Record, nil, true
 }
 
-// schedulerNamer is an election.Holder that knows the holder's name.
+// schedulerNamer is an election.Holder that returns the name of the host that
+// holds the term.
 type schedulerNamer interface{ Scheduler() string }
 
-// writerHost returns the entry host of this failure domain that writes for the
-// others: its scheduler, which writes to the same ledger anyway, or else one
-// that all choose alike. found is false when that is this host.
+// writerHost returns the entry host that writes to the ledger on behalf of the
+// other entry hosts of this failure domain: the scheduler, which writes to the
+// same ledger anyway. Without a scheduler it is the one with the highest hash of
+// its name, so that all hosts choose the same one. found is false when this host
+// is the writer host.
 func (in *Intake) writerHost() (h kvstore.Host, found bool) {
 	if in.o.Peers == nil {
 		return kvstore.Host{}, false
--- a/intake/http.go
+++ b/intake/http.go
@@ -21,8 +21,8 @@
 	methodHold      = "Gangs.Hold"
 )
 
-// Register adds the job calls to mux. The sender's identity is in each
-// request's context.
+// Register adds the job calls to mux. The context of each request must hold the
+// caller's identity.
 func (in *Intake) Register(mux *http.ServeMux) {
 	const jobPath = "/v1/jobs/{organisation}/{service}/{name}"
 	mux.HandleFunc("POST /v1/jobs", handle(in.serveSubmit))
@@ -32,8 +32,10 @@
 	mux.HandleFunc("DELETE "+jobPath, handle(in.serveCancel))
 }
 
+// handler serves a call of an authenticated caller and returns the reply's body.
 type handler func(r *http.Request, who auth.Identity) (any, error)
 
+// handle returns h as an http.HandlerFunc that writes the reply or error as JSON.
 func handle(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, err := auth.RequireIdentity(r.Context())
@@ -86,8 +88,8 @@
 	return api.JobList{Jobs: jobs}, nil
 }
 
-// List returns the jobs of all failure domains that the sender may see, in the
-// given state or, when it is empty, in any, ordered by ID.
+// List returns the jobs of all failure domains that the caller may see, ordered by
+// ID. If state is not empty, it returns only the jobs in that state.
 func (in *Intake) List(ctx context.Context, who auth.Identity, state job.State) ([]job.Record, error) {
 	snap, _ := in.o.Config.Current()
 	names := sortedKeys(snap.FailureDomains)
@@ -131,11 +133,12 @@
 	return api.Explanation{Record: rec, FailureDomain: domain, Why: why, History: rec.History}, nil
 }
 
-// whyQueued asks the scheduler of the job's failure domain whyQueued it waits.
+// whyQueued returns why a queued job waits, as the scheduler of its failure domain
+// reports it or, without an answer, from the job's record.
 func (in *Intake) whyQueued(ctx context.Context, domain string, rec job.Record) string {
 	snap, _ := in.o.Config.Current()
 	if snap.FailureDomains[domain].Out {
-		return "failure domain " + domain + " is out of service; the job is moved or waits until it is back"
+		return "failure domain " + domain + " is out of service; the job is moved to another one or waits until this one is back in service"
 	}
 	if reason, ok := in.o.HoldReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
 		return reason
@@ -146,5 +149,5 @@
 	if rec.Reason != "" {
 		return rec.Reason
 	}
-	return "it waits for the scheduler of failure domain " + domain
+	return "the job waits for the scheduler of failure domain " + domain
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,5 +1,9 @@
-// Package intake takes jobs from callers, keeps them in the ledger, and tells
-// callers what became of them. Any entry host takes any job.
+// Package intake accepts jobs from callers, stores them in the ledger, and reports
+// their state. Any entry host accepts any job; callers use the HTTP calls that
+// Register adds. On the host that holds a failure domain's term, Run prunes ended
+// jobs and moves queued ones between failure domains. The jobs are in the
+// platform's store; an Intake itself keeps only cached loads and the times at
+// which failure domains stopped starting jobs.
 package intake
 
 import (
@@ -20,11 +24,11 @@
 )
 
 const (
-	// DefaultRetention is how long ended jobs are kept.
+	// DefaultRetention is how long the records of ended jobs are kept.
 	DefaultRetention = 24 * time.Hour
-	// ledgerTimeout bounds a caller's wait for the ledger.
+	// ledgerTimeout limits how long a caller waits for the ledger.
 	ledgerTimeout = 8 * time.Second
-	// maintenanceInterval is the time between two rounds of pruning and moving.
+	// maintenanceInterval is the time between two calls of Maintain.
 	maintenanceInterval = 2 * time.Second
 )
 
@@ -35,12 +39,12 @@
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
-	// HoldReason tells why a queued job of this failure domain waits; nil: unknown.
+	// HoldReason returns why a queued job of this failure domain waits; nil: unknown.
 	HoldReason func(job.ID) (reason string, ok bool)
-	// HasScheduler tells whether a failure domain has a scheduler; nil: all have.
+	// HasScheduler reports whether a failure domain has a scheduler; nil: all have.
 	HasScheduler func(failureDomain string) bool
-	// SelectStartable tells which queued jobs of other failure domains this one could
-	// start at once; nil: none.
+	// SelectStartable returns which queued jobs of other failure domains this one
+	// could start at once; nil: none.
 	SelectStartable func(ctx context.Context, records []job.Record) []job.ID
 	Peers           peer.Caller   // nil: this entry host is alone
 	Retention       time.Duration // 0: DefaultRetention
@@ -65,7 +69,7 @@
 	return o
 }
 
-// Intake serves callers' job calls. It is safe for concurrent use.
+// Intake serves the calls about jobs. It is safe for concurrent use.
 type Intake struct {
 	o     Options
 	loads *loadCache
@@ -73,13 +77,13 @@
 	submitted *metrics.Counter
 	refused   *metrics.Counter
 
-	lastPull time.Time // last look at other failure domains' queues; owned by Keep
+	lastPull time.Time // last read of other failure domains' queues; used by Maintain only
 
 	mu               sync.Mutex
-	notStartingSince map[string]time.Time // failure domain to the moment since which it starts nothing
+	notStartingSince map[string]time.Time // by failure domain: time since which it is known to start nothing
 }
 
-// New returns an intake; Run prunes and moves jobs.
+// New returns an intake. It does not prune or move jobs before Run is called.
 func New(o Options) *Intake {
 	o = o.withDefaults()
 	return &Intake{
@@ -91,10 +95,7 @@
 	}
 }
 
-// Run prunes ended jobs of this failure domain, moves queued ones away from
-// failure domains that start nothing, and takes over those that could start
-// here at once, until ctx ends. Only the host that holds the failure domain's
-// term does so.
+// Run calls Maintain periodically until ctx ends.
 func (in *Intake) Run(ctx context.Context) error {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
@@ -108,8 +109,10 @@
 	}
 }
 
-// Maintain does one round of pruning and moving, if this host holds the term. Only
-// Run, or a test without it, calls it.
+// Maintain prunes ended jobs of this failure domain, moves queued jobs away from
+// failure domains that start nothing, and moves those here that could start at
+// once. It does nothing unless this host holds the failure domain's term. It is
+// not safe for concurrent use: only Run calls it, or a test that does not use Run.
 func (in *Intake) Maintain(ctx context.Context) {
 	if _, _, held := in.o.Election.Term(); !held {
 		return
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -29,7 +29,8 @@
 
 var org = auth.Identity{Organisation: "org"}
 
-// site is a store, a configuration and a host list, shared by entry hosts.
+// site is the store, the configuration, the host list and the clock that the entry
+// hosts of a test share.
 type site struct {
 	kv    *kv.Server
 	store kvstore.Store
@@ -96,12 +97,13 @@
 		Election: s, Now: s.clock}), ledgers
 }
 
-// viewFrom is the site's host list as one entry host sees it.
+// viewFrom is the site's host list with one entry host as Self.
 type viewFrom struct{ view membership.View }
 
 func (v *viewFrom) View() *membership.View { return &v.view }
 
-// entryHosts returns intakes of one failure domain that reach each other.
+// entryHosts returns the intakes of n entry hosts of one failure domain that call
+// each other, and their peer servers.
 func (s *site) entryHosts(t testing.TB, n int) ([]*intake.Intake, []*peer.Server) {
 	var hosts []kvstore.Host
 	var servers []*peer.Server
@@ -189,7 +191,7 @@
 	}
 	s.edit(func(c *config.Snapshot) { c.Retired = map[string]uint64{"svc": 8} })
 	rec, err := in.Submit(context.Background(), org, spec("early"))
-	must.NoError(t, err, must.Sprint("a repeated submission finds the first one also after a retirement"))
+	must.NoError(t, err, must.Sprint("a repeated submission returns the first job after its service is retired"))
 	must.EqOp(t, "early", rec.Spec.ID.Name)
 }
 
@@ -223,6 +225,8 @@
 	must.StrContains(t, answer, "cancelled by org")
 }
 
+// Bursts of 2,000 submissions and 2,000 cancellations over 7 entry hosts must take
+// at most 60 writes to the store each.
 func TestBurstStaysWithinTheWriteBudget(t *testing.T) {
 	t.Parallel()
 	const burst, budget, hosts = 2_000, 60, 7
@@ -261,6 +265,7 @@
 	must.EqOp(t, burst, sum)
 }
 
+// An entry host must write submissions itself while the writer host does not answer.
 func TestSubmitFallsBackToLocalWrite(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -318,7 +323,7 @@
 	must.Len(t, 1, recordNames(moved))
 	must.EqOp(t, job.Queued, moved[spec("waits").ID.String()].State)
 	rec, err := in.Submit(ctx, org, spec("waits"))
-	must.NoError(t, err, must.Sprint("a repeated submission follows the job"))
+	must.NoError(t, err, must.Sprint("a repeated submission returns the moved job"))
 	must.EqOp(t, 1, rec.Moves)
 	left, err := ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
@@ -326,7 +331,7 @@
 	must.EqOp(t, job.Placed, left[placed].State)
 	must.EqOp(t, job.Queued, left[spec("pinned").ID.String()].State)
 
-	// Back again: the tombstone of the first move gives way.
+	// The job moves back to fd1, where the moved record of its first move is replaced.
 	s.edit(func(c *config.Snapshot) {
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2", Out: true}}
 	})
@@ -364,7 +369,7 @@
 	must.NoError(t, err)
 	in.Maintain(ctx)
 	_, err = in.Find(ctx, org, spec("ends").ID)
-	must.NoError(t, err, must.Sprint("kept for a while"))
+	must.NoError(t, err, must.Sprint("kept until the retention has passed"))
 	s.advanceClock(intake.DefaultRetention + time.Second)
 	in.Maintain(ctx)
 	records, err := ledgers.Jobs("fd1").ReadAll(ctx)
--- a/intake/ledger/codec.go
+++ b/intake/ledger/codec.go
@@ -11,18 +11,21 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// maxNonces is how many writes back a lost answer can still be recognised.
+// maxNonces is the number of latest writes whose nonces a page holds. A write whose
+// reply was lost is recognised as long as fewer writes follow it.
 const maxNonces = 16
 
-// maxDecodedBytes bounds an unpacked shard.
+// maxDecodedBytes limits the size of a decompressed shard.
 const maxDecodedBytes = 16 * kvstore.MaxValueBytes
 
-// page is one shard's value: entries by key, and the newest writes' nonces.
+// page is the value of one shard: its entries by key, and the nonces of its latest
+// writes.
 type page[V any] struct {
 	Nonces  []string     `json:"nonces"`
 	Entries map[string]V `json:"entries"`
 }
 
+// hasNonce reports whether the page includes the write with a nonce.
 func (p page[V]) hasNonce(nonce string) bool {
 	for _, n := range p.Nonces {
 		if n == nonce {
@@ -32,7 +35,8 @@
 	return false
 }
 
-// copyWithNonce returns a copy of p whose entries and nonces may be changed freely.
+// copyWithNonce returns a copy of p with one more nonce. Changes to the entries and
+// nonces of the copy do not affect p.
 func (p page[V]) copyWithNonce(nonce string) page[V] {
 	next := page[V]{Entries: make(map[string]V, len(p.Entries)+1)}
 	kept := p.Nonces
@@ -46,8 +50,8 @@
 	return next
 }
 
-// encode packs a page as gzipped JSON: records of one shard resemble each
-// other, so they pack to a small part of their plain size.
+// encode encodes a page as gzipped JSON. The records of a shard resemble each
+// other, so they compress to a small part of their size.
 func encode[V any](p page[V]) ([]byte, error) {
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -63,6 +67,7 @@
 	return b.Bytes(), nil
 }
 
+// decode decodes the output of encode. An empty value is an empty page.
 func decode[V any](value []byte) (page[V], error) {
 	var p page[V]
 	if len(value) == 0 {
@@ -70,14 +75,14 @@
 	}
 	z, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
-		return p, errors.Wrap(err, "unpacking a ledger shard")
+		return p, errors.Wrap(err, "decompressing a ledger shard")
 	}
 	plain, err := io.ReadAll(io.LimitReader(z, maxDecodedBytes))
 	if err != nil {
-		return p, errors.Wrap(err, "unpacking a ledger shard")
+		return p, errors.Wrap(err, "decompressing a ledger shard")
 	}
 	if err := json.Unmarshal(plain, &p); err != nil {
-		return p, errors.Wrap(err, "reading a ledger shard")
+		return p, errors.Wrap(err, "decoding a ledger shard")
 	}
 	return p, nil
 }
--- a/intake/ledger/ledger.go
+++ b/intake/ledger/ledger.go
@@ -1,6 +1,9 @@
-// Package ledger keeps jobs in the platform's store: for each failure domain a
-// few values that hold many records each, written in groups, and one index that
-// tells which failure domain's ledger has a job.
+// Package ledger stores jobs in the platform's store. Each failure domain has a
+// ledger: a few values that hold many records each and are written in groups. One
+// index maps a job to the failure domain whose ledger holds it. The package caches
+// the values last read or written. Package intake writes submissions,
+// cancellations and moves to the ledgers, and the schedulers in package gang write
+// the progress of jobs.
 package ledger
 
 import (
@@ -23,21 +26,22 @@
 	indexPrefix = "cyclamentray/jobs/index"
 	jobsPrefix  = "cyclamentray/jobs/ledger/"
 	notesPrefix = "cyclamentray/jobs/notes"
-	// MaxShardEntries bounds the entries of one shard, so that its value stays under 1 MB.
+	// MaxShardEntries limits the entries of one shard, so that its value stays under 1 MB.
 	MaxShardEntries = 5000
 )
 
 var errFull = apierr.New(apierr.Overloaded,
 	"the job ledger is full", "wait until ended jobs are pruned, then submit again under the same name")
 
-// Claim says which failure domain a job was first given to.
+// Claim is the index entry of a job: it binds the job to its spec and to the failure
+// domain whose ledger holds it.
 type Claim struct {
 	FailureDomain string    `json:"failureDomain"`
 	Digest        string    `json:"digest"` // of the spec as submitted
 	At            time.Time `json:"at"`
 }
 
-// Digest identifies a spec's content.
+// Digest returns a hash of a spec's content.
 func Digest(spec job.Spec) string {
 	plain, err := json.Marshal(spec)
 	if err != nil {
@@ -47,16 +51,18 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Jobs is one failure domain's ledger, by job.ID as a string.
+// Jobs is the ledger of one failure domain. It maps a job.ID as a string to the
+// job's record.
 type Jobs = Table[job.Record]
 
 // Index maps a job.ID as a string to its claim.
 type Index = Table[Claim]
 
-// Notes keeps what schedulers learned, by a name that the scheduler chooses.
+// Notes stores the estimates that schedulers learn, by names that the scheduler
+// chooses.
 type Notes = Table[json.RawMessage]
 
-// Options configures a Ledgers.
+// Options configures Ledgers.
 type Options struct {
 	Store         kvstore.Store
 	Shards        int           // 0: DefaultShards; the same on every host
@@ -66,7 +72,7 @@
 	Metrics       *metrics.Set
 }
 
-// Ledgers gives the ledgers of all failure domains and the index over them.
+// Ledgers provides the ledgers of all failure domains, their index and the notes.
 // It is safe for concurrent use.
 type Ledgers struct {
 	o     Options
@@ -76,7 +82,7 @@
 	jobs  map[string]*Jobs
 }
 
-// New returns the ledgers kept in a store. Nothing is read yet.
+// New returns the ledgers in a store. It reads nothing from the store.
 func New(o Options) *Ledgers {
 	b := &Ledgers{o: o, jobs: make(map[string]*Jobs)}
 	b.index = NewTable[Claim](b.table(indexPrefix))
@@ -91,13 +97,13 @@
 	}
 }
 
-// Index returns the index over all failure domains.
+// Index returns the index of the jobs of all failure domains.
 func (b *Ledgers) Index() *Index { return b.index }
 
 // Store returns the store that holds the ledgers.
 func (b *Ledgers) Store() kvstore.Store { return b.o.Store }
 
-// Notes returns what schedulers learned.
+// Notes returns the table of the estimates that schedulers learn.
 func (b *Ledgers) Notes() *Notes { return b.notes }
 
 // Jobs returns a failure domain's ledger.
@@ -112,7 +118,7 @@
 	return t
 }
 
-// Run keeps the ledger of one failure domain fresh until ctx ends.
+// Run keeps the snapshot of one failure domain's ledger current until ctx ends.
 func (b *Ledgers) Run(ctx context.Context, failureDomain string) error {
 	return b.Jobs(failureDomain).Run(ctx)
 }
--- a/intake/ledger/ledger_test.go
+++ b/intake/ledger/ledger_test.go
@@ -16,12 +16,13 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// faultyStore makes writes take effect and lose their answer, or not reach the store.
+// faultyStore loses the replies to writes that took effect, or drops writes before
+// they reach the store.
 type faultyStore struct {
 	kvstore.Store
 	mu          sync.Mutex
-	loseAnswers int // answers of writes to lose after their effect
-	dropWrites  int // writes that do not reach the store
+	loseAnswers int // number of next writes that take effect but whose reply is lost
+	dropWrites  int // number of next writes that do not reach the store
 	writes      int
 }
 
@@ -51,7 +52,8 @@
 	return ledger.NewTable[int](ledger.TableOptions{Store: store, Prefix: "t", Shards: 2, WriteInterval: 5 * time.Millisecond})
 }
 
-// increment is not idempotent: a write repeated after a lost answer would show.
+// increment is not idempotent, so that a write repeated after a lost reply shows in
+// the value.
 func increment(old int, _ bool) (int, bool, error) { return old + 1, true, nil }
 
 func TestUpdateIsWrittenOnceWhenAnswersAreLost(t *testing.T) {
--- a/intake/ledger/shard.go
+++ b/intake/ledger/shard.go
@@ -15,24 +15,27 @@
 )
 
 const (
-	callTimeout           = 4 * time.Second // of one call to the store
-	maxWriteAttempts      = 12              // of one group of updates
-	readsPerWriteInterval = 4               // reads of one shard by one host, per gap between writes
+	callTimeout           = 4 * time.Second // per call to the store
+	maxWriteAttempts      = 12              // per group of updates
+	readsPerWriteInterval = 4               // maximum reads of one shard by one host per WriteInterval
 )
 
+// result is the value or error that Table.Update returns.
 type result[V any] struct {
 	value V
 	err   error
 }
 
+// update is a call of Table.Update that waits for its write.
 type update[V any] struct {
 	key       string
 	change    Change[V]
-	done      chan result[V] // buffered: the committer never waits for a caller
-	cancelled func() bool    // the caller no longer waits
+	done      chan result[V] // buffered, so that commitLoop never blocks on a caller
+	cancelled func() bool    // reports whether the caller no longer waits
 }
 
-// shard is one value of the store. At most one write of it is under way here.
+// shard is one value of the store, with its cached page. At most one of this
+// host's writes of it is in progress at a time.
 type shard[V any] struct {
 	t   *Table[V]
 	key string
@@ -44,23 +47,27 @@
 	loaded     bool
 	pending    []*update[V]
 	committing bool
-	reading    bool         // a read is under way
-	nextRead   *readCall[V] // begins once it ends
+	reading    bool         // readLoop is running
+	nextRead   *readCall[V] // the next call of readLoop; nil: none is requested
 }
 
+// readCall is a read of the shard that one or more callers wait for.
 type readCall[V any] struct {
 	done chan struct{}
 	page page[V]
 	err  error
 }
 
+// snapshot returns the cached page and the time at which it was last confirmed;
+// the last result is false if the shard was never read.
 func (s *shard[V]) snapshot() (page[V], time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.page, s.confirmed, s.loaded
 }
 
-// applyRead takes over an entry read from the store, unless a newer one is known.
+// applyRead updates the cached page from an entry read from the store, unless the
+// cached one is newer. asked is the time before the read.
 func (s *shard[V]) applyRead(e kvstore.Entry, asked time.Time) (page[V], error) {
 	s.mu.Lock()
 	if s.loaded && e.Version == s.version {
@@ -77,6 +84,7 @@
 	return p, nil
 }
 
+// install caches a page unless the cached one is newer.
 func (s *shard[V]) install(p page[V], version uint64, asked time.Time) {
 	s.mu.Lock()
 	newer := !s.loaded || version > s.version
@@ -115,8 +123,9 @@
 	return s.applyRead(e, asked)
 }
 
-// read returns the shard as it is at some moment after the call. It joins a
-// read that has not begun yet, never one that began earlier.
+// read returns the shard's page at some time after the call of read. Callers share
+// a read that has not begun yet, but never one that has: it may miss writes that
+// ended before the call.
 func (s *shard[V]) read(ctx context.Context) (page[V], error) {
 	s.mu.Lock()
 	call := s.nextRead
@@ -137,7 +146,7 @@
 	}
 }
 
-// readLoop reads the shard, one call at a time, while somebody waits.
+// readLoop makes the requested reads, one at a time, until none is requested.
 func (s *shard[V]) readLoop() {
 	for {
 		s.mu.Lock()
@@ -155,7 +164,7 @@
 	}
 }
 
-// watchUntilDone watches the shard until ctx ends.
+// watchUntilDone keeps the cached page current with watches until ctx ends.
 func (s *shard[V]) watchUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -173,6 +182,7 @@
 	}
 }
 
+// watch waits for a newer version than after, and caches it.
 func (s *shard[V]) watch(ctx context.Context, after uint64) error {
 	s.t.reads.Inc()
 	asked := s.t.o.Now()
@@ -184,6 +194,7 @@
 	return err
 }
 
+// update queues a change and waits for its result.
 func (s *shard[V]) update(ctx context.Context, key string, change Change[V]) (V, error) {
 	u := &update[V]{key: key, change: change, done: make(chan result[V], 1)}
 	u.cancelled = func() bool { return ctx.Err() != nil }
@@ -203,7 +214,7 @@
 	}
 }
 
-// commitLoop writes groups of updates until none is left.
+// commitLoop writes groups of updates until none is pending.
 func (s *shard[V]) commitLoop() {
 	for {
 		s.mu.Lock()
@@ -220,13 +231,14 @@
 	}
 }
 
-// writeAttempt is a write of a group whose effect is not known.
+// writeAttempt is a write of a group that may or may not have taken effect.
 type writeAttempt[V any] struct {
 	nonce   string
 	results []result[V]
 }
 
-// commit writes one group. An answer that was lost is settled by reading back.
+// commit writes one group, and retries up to maxWriteAttempts times. After a write
+// whose reply was lost, it reads the page back and looks for the nonce of the write.
 func (s *shard[V]) commit(group []*update[V]) {
 	var tried []writeAttempt[V]
 	var err error
@@ -239,7 +251,7 @@
 		if err != nil {
 			continue
 		}
-		if results, landed := findApplied(tried, base); landed {
+		if results, applied := findApplied(tried, base); applied {
 			deliverResults(group, results)
 			return
 		}
@@ -262,7 +274,8 @@
 	}
 }
 
-// findApplied finds the earlier attempt that the page shows to have taken effect.
+// findApplied returns the results of the earlier attempt that took effect,
+// according to the nonces in the page.
 func findApplied[V any](tried []writeAttempt[V], p page[V]) ([]result[V], bool) {
 	for _, a := range tried {
 		if p.hasNonce(a.nonce) {
@@ -272,7 +285,8 @@
 	return nil, false
 }
 
-// basePage returns the page to write upon, read anew after a failed attempt.
+// basePage returns the page that a write is based on: the cached one or, if fresh
+// is set or none is cached, one read from the store.
 func (s *shard[V]) basePage(fresh bool) (page[V], error) {
 	p, _, known := s.snapshot()
 	if known && !fresh {
@@ -281,8 +295,8 @@
 	return s.fetch(context.Background())
 }
 
-// write applies the group to the page and swaps it in. A group that changes
-// nothing is confirmed by a read.
+// write applies the group to the page and writes it with a compare-and-swap. If
+// the group changes nothing, it only reads the page, to confirm that it is current.
 func (s *shard[V]) write(group []*update[V], nonce string) ([]result[V], error) {
 	s.mu.Lock()
 	base, version := s.page, s.version
@@ -311,7 +325,9 @@
 	return results, nil
 }
 
-// confirmUnchanged answers a group without effect, once the page is known to be current.
+// confirmUnchanged returns the results of a group that changes nothing, computed
+// from a page read from the store. It returns kvstore.ErrConflict if the group
+// changes that page.
 func (s *shard[V]) confirmUnchanged(group []*update[V]) ([]result[V], error) {
 	fresh, err := s.fetch(context.Background())
 	if err != nil {
@@ -319,19 +335,20 @@
 	}
 	results, changed := apply(group, fresh.copyWithNonce("").Entries)
 	if changed {
-		return nil, errors.Mark(errors.New("the shard changed meanwhile"), kvstore.ErrConflict)
+		return nil, errors.Mark(errors.New("the shard changed during the update"), kvstore.ErrConflict)
 	}
 	return results, nil
 }
 
+// deliverResults sends each update of a group its result.
 func deliverResults[V any](group []*update[V], results []result[V]) {
 	for i, u := range group {
 		u.done <- results[i]
 	}
 }
 
-// apply runs a group's changes on entries, which it alters. A caller that has
-// given up is left out.
+// apply applies a group's changes to entries in place. It skips updates whose
+// caller no longer waits.
 func apply[V any](group []*update[V], entries map[string]V) (results []result[V], changed bool) {
 	results = make([]result[V], len(group))
 	for i, u := range group {
--- a/intake/ledger/size_test.go
+++ b/intake/ledger/size_test.go
@@ -10,7 +10,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// benchPage holds records like those of jobs that ran on 32 workers and ended.
+// benchPage returns a page with records like those of jobs that ran on 32 workers
+// and ended.
 func benchPage(records int) page[job.Record] {
 	p := page[job.Record]{Entries: make(map[string]job.Record)}
 	now := time.Now()
@@ -32,8 +33,9 @@
 	return p
 }
 
-// BenchmarkShard reports the size of one shard's value and the time to pack
-// and unpack it: a failure domain's day, the same with a burst of 2,000, and full.
+// BenchmarkShard reports the size of one shard's value and the time to encode and
+// decode it, for the records of one day of a failure domain (66 per shard), for
+// those and a burst of 2,000 jobs (566 per shard), and for a full shard.
 func BenchmarkShard(b *testing.B) {
 	for _, records := range []int{66, 566, MaxShardEntries} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
--- a/intake/ledger/table.go
+++ b/intake/ledger/table.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// DefaultShards is the number of values that a table is spread over.
+	// DefaultShards is the default number of values that a table is split into.
 	DefaultShards = 4
-	// DefaultWriteInterval is the least time between two writes of one shard by one host.
+	// DefaultWriteInterval is the default minimum time between two writes of one
+	// shard by one host.
 	DefaultWriteInterval = 200 * time.Millisecond
-	// watchRetryDelay is how long a failed watch rests before the next.
+	// watchRetryDelay is the delay before a failed watch is retried.
 	watchRetryDelay = 500 * time.Millisecond
 )
 
 // TableOptions configures a table.
 type TableOptions struct {
 	Store         kvstore.Store
-	Prefix        string        // of the shards' keys, such as "jobs/ledger/fd1"
+	Prefix        string        // of the shards' keys in the store, such as "jobs/ledger/fd1"
 	Shards        int           // 0: DefaultShards; the same on every host
 	WriteInterval time.Duration // 0: DefaultGap
 	Now           func() time.Time
@@ -36,9 +37,10 @@
 	Metrics       *metrics.Set // nil: a private set
 }
 
-// Table is a map kept in a few values of the platform's store. Updates that
-// arrive while a shard's write is under way are written together by the next
-// one. It is safe for concurrent use, by many hosts at once.
+// Table is a map stored in a few values of the platform's store, its shards.
+// Updates that arrive during a write of their shard are written together by the
+// next write. A Table is safe for concurrent use, and many hosts may use tables on
+// the same values concurrently.
 type Table[V any] struct {
 	o         TableOptions
 	shards    []*shard[V]
@@ -49,7 +51,7 @@
 	conflicts *metrics.Counter
 }
 
-// NewTable returns a table; nothing is read until it is used or run.
+// NewTable returns a table. It reads nothing from the store.
 func NewTable[V any](o TableOptions) *Table[V] {
 	if o.Shards == 0 {
 		o.Shards = DefaultShards
@@ -77,21 +79,22 @@
 	return t.shards[xxhash.Sum64String(key)%uint64(len(t.shards))]
 }
 
-// Change makes an entry's next value. It may run several times, on newer and
-// newer values, so it must give the same answer when its effect is already
-// there. keep false removes the entry. An error leaves the entry as it is.
-// It must not write to arrays or maps that old refers to.
+// Change returns an entry's next value. It may be called several times, each time
+// with a newer value, so it must return the same result if the value already
+// includes its effect. If keep is false, the entry is removed. If err is not nil,
+// the entry stays unchanged. A Change must not write to arrays or maps that old
+// refers to.
 type Change[V any] func(old V, found bool) (next V, keep bool, err error)
 
-// Update applies a change to one entry and returns its value once written.
-// A nil error means that the change is in the store. kvstore.ErrUnavailable
-// means that it is not, kvstore.ErrAmbiguous that it may be.
+// Update applies a change to one entry and returns the entry's value once that is
+// written. A nil error means that the change is in the store,
+// kvstore.ErrUnavailable that it is not, and kvstore.ErrAmbiguous that it may be.
 func (t *Table[V]) Update(ctx context.Context, key string, change Change[V]) (V, error) {
 	return t.shardOf(key).update(ctx, key, change)
 }
 
-// Read returns an entry as the store holds it now. Reads that wait for the
-// same shard share one call.
+// Read reads an entry from the store. Concurrent reads of the same shard share one
+// call to the store, which begins after they do.
 func (t *Table[V]) Read(ctx context.Context, key string) (v V, found bool, err error) {
 	p, err := t.shardOf(key).read(ctx)
 	if err != nil {
@@ -101,7 +104,7 @@
 	return v, found, nil
 }
 
-// ReadAll returns every entry as the store holds it now.
+// ReadAll reads all entries from the store.
 func (t *Table[V]) ReadAll(ctx context.Context) (map[string]V, error) {
 	pages := make([]page[V], len(t.shards))
 	g, ctx := errgroup.WithContext(ctx)
@@ -122,9 +125,10 @@
 	return out, nil
 }
 
-// Snapshot returns the newest entries seen and the time before the store was
-// asked when the oldest shard among them was last confirmed. complete is false
-// until every shard has been read once.
+// Snapshot returns the cached entries, which are the newest that this host has
+// read or written. Each shard was confirmed to be current at confirmed or later;
+// that is the time at which the confirming call to the store began. complete is
+// false until every shard has been read once.
 func (t *Table[V]) Snapshot() (entries map[string]V, confirmed time.Time, complete bool) {
 	entries = make(map[string]V)
 	complete = true
@@ -139,13 +143,14 @@
 	return entries, confirmed, complete
 }
 
-// Changed returns a channel that is closed when a newer entry is seen.
+// Changed returns a channel that is closed when the snapshot changes next.
 func (t *Table[V]) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
+// notifyChanged closes the channel that Changed returned, and makes a new one.
 func (t *Table[V]) notifyChanged() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +158,7 @@
 	t.changed = make(chan struct{})
 }
 
-// Run keeps the snapshot fresh by one watch a shard, until ctx ends.
+// Run keeps the snapshot current with one watch per shard until ctx ends.
 func (t *Table[V]) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for _, s := range t.shards {
--- a/intake/linear_test.go
+++ b/intake/linear_test.go
@@ -31,8 +31,8 @@
 	cancelling
 )
 
-// jobInput is one caller's call about one job. Variants are different specs
-// under the same name.
+// jobInput is one caller's call about one job. variant selects one of several
+// specs of the same name.
 type jobInput struct {
 	call    call
 	name    string
@@ -45,8 +45,8 @@
 	cancelled bool
 }
 
-// jobState is one name as the model sees it. A failed submission may have
-// bound the name to its spec without having made the job.
+// jobState is the model's state of one name. A failed submission may have bound the
+// name to its spec without creating the job.
 type jobState struct {
 	bound, exists, cancelled bool
 	variant                  int
@@ -74,7 +74,7 @@
 	return s.exists && s.variant == out.variant && s.cancelled == out.cancelled
 }
 
-// nextStates lists the states that a call's answer allows.
+// nextStates returns the states that are possible after a call with output out.
 func nextStates(s jobState, in jobInput, out jobOutput) []any {
 	after := map[call]jobState{submitting: s.create(in.variant), finding: s, cancelling: s.cancel()}[in.call]
 	switch {
@@ -90,7 +90,7 @@
 		if in.call != submitting && !s.exists {
 			return []any{s}
 		}
-	case out.kind == apierr.Unavailable && in.call == submitting: // says that no job was made
+	case out.kind == apierr.Unavailable && in.call == submitting: // means that no job was created, though the name may be bound
 		return []any{s, s.bind(in.variant)}
 	case out.kind == apierr.Unavailable:
 		return []any{s}
@@ -123,7 +123,7 @@
 	},
 }
 
-// caller makes random calls through its own entry host.
+// caller makes random calls through an entry host of its own and records them.
 type caller struct {
 	in           *intake.Intake
 	random       *rand.Rand
@@ -139,7 +139,7 @@
 		out := c.make(in)
 		ended := int64(time.Since(c.historyStart))
 		if out.kind == apierr.OutcomeUnknown {
-			ended = math.MaxInt64 // it may yet take effect
+			ended = math.MaxInt64 // it may still take effect at any later time
 		}
 		time.Sleep(time.Duration(c.random.IntN(40)) * time.Millisecond)
 		c.calls = append(c.calls, porcupine.Operation{ClientId: c.client, Input: in, Call: int64(began), Output: out, Return: ended})
@@ -170,7 +170,7 @@
 var storeFaults = []kv.Faults{{}, {}, {Down: true}, {LoseAnswers: -1}, {Delay: 60 * time.Millisecond}, {Delay: 30 * time.Millisecond, LoseAnswers: -1}}
 
 // Submissions, look-ups and cancellations of the same names through four entry
-// hosts, while the store fails and loses answers, look as if made one by one.
+// hosts must be linearizable while the store is down, slow or loses replies.
 func TestJobCallsAreLinearizable(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkJobCalls(t, seed) })
@@ -189,7 +189,7 @@
 	faults.Go(func() { s.kv.Disturb(rand.New(rand.NewPCG(seed, 0)), storeFaults, 80*time.Millisecond, stop) })
 	var all []*caller
 	for client := range callers {
-		var store kvstore.Store = kvstore.NewClient(server.URL) // leaves lost answers to the ledger
+		var store kvstore.Store = kvstore.NewClient(server.URL) // does not retry: the ledger must handle lost replies
 		if client == 0 {
 			store = kvstore.New(kvstore.Options{Base: server.URL, Rate: 1000, Burst: 1000})
 		}
@@ -211,6 +211,6 @@
 		}
 	}
 	t.Logf("outcomes: %v", outcomes)
-	must.Greater(t, 20, outcomes[""], must.Sprint("too few calls succeeded to say anything"))
+	must.Greater(t, 20, outcomes[""], must.Sprint("too few calls succeeded for a meaningful check"))
 	must.Eq(t, porcupine.Ok, porcupine.CheckOperationsTimeout(jobModel.ToModel(), history, 30*time.Second))
 }
--- a/intake/maintain.go
+++ b/intake/maintain.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	// permitLapseDelay is how long after a failure domain was seen out of service
-	// its start permits have surely lapsed: the permit's age and the hold of
-	// a reservation, with a margin.
+	// permitLapseDelay is the time after which all start permits of a failure
+	// domain that was seen out of service have lapsed: the maximum age of a permit
+	// plus the hold of a reservation, with a margin.
 	permitLapseDelay = 5 * time.Second
-	// maxTimeWithoutScheduler is how long a failure domain may be without a scheduler
-	// before its queued jobs go elsewhere.
+	// maxTimeWithoutScheduler is how long a failure domain may be without a
+	// scheduler before its queued jobs are moved.
 	maxTimeWithoutScheduler = time.Minute
-	// maxPrunedPerRound bounds the records pruned in one round.
+	// maxPrunedPerRound limits the records pruned by one call of Maintain.
 	maxPrunedPerRound = 500
 )
 
-// prune drops ended jobs after their retention: from the index first, so that
-// an index entry without a record can only be a new job's.
+// prune deletes ended jobs after their retention. It deletes the index entry
+// before the record, so that an index entry without a record always belongs to a
+// new job whose record is not written yet.
 func (in *Intake) prune(ctx context.Context) {
 	jobs := in.o.Ledgers.Jobs(in.o.FailureDomain)
 	records, _, _ := jobs.Snapshot()
@@ -53,12 +54,13 @@
 		g.Go(func() error { return in.pruneJob(ctx, key, records[key]) })
 	}
 	if err := g.Wait(); err != nil {
-		in.o.Logger.Warn("pruning is put off", "err", err.Error())
+		in.o.Logger.Warn("pruning ended jobs failed; retrying in the next round", "err", err.Error())
 	}
 }
 
-// pruneJob drops one record. The index must not lead to a record that is gone:
-// a job that moved on is looked up where it went.
+// pruneJob deletes one record and, before that, its index entry, so that the index
+// never points to a deleted record. If the job was moved, pruneJob keeps the index
+// entry and points it to the failure domain that the job was moved to.
 func (in *Intake) pruneJob(ctx context.Context, key string, rec job.Record) error {
 	here := in.o.FailureDomain
 	_, err := in.o.Ledgers.Index().Update(ctx, key, func(old ledger.Claim, found bool) (ledger.Claim, bool, error) {
@@ -78,9 +80,9 @@
 	return err
 }
 
-// moveQueuedJobs takes queued jobs out of failure domains that start nothing. The write
-// that marks a job as moved is what keeps it from being placed there later, as
-// a placement is recorded before anything starts.
+// moveQueuedJobs moves queued jobs out of failure domains that start nothing. Once
+// a job's record is marked as moved, its old failure domain cannot start it: a
+// scheduler records a placement before it starts anything.
 func (in *Intake) moveQueuedJobs(ctx context.Context) {
 	snap, _ := in.o.Config.Current()
 	for _, domain := range in.domainsNotStarting(snap) {
@@ -91,13 +93,14 @@
 			continue
 		}
 		if err := in.moveQueuedJobsFrom(ctx, snap, domain); err != nil {
-			in.o.Logger.Warn("queued jobs were not moved; it is tried again", "failureDomain", domain, "err", err.Error())
+			in.o.Logger.Warn("moving queued jobs failed; retrying in the next round", "failureDomain", domain, "err", err.Error())
 		}
 	}
 }
 
-// termIsFree asks the platform whether nobody holds a failure domain's term: a
-// scheduler that only this host does not reach keeps its jobs.
+// termIsFree reads from the store whether no host holds a failure domain's term.
+// Jobs must not be moved from a scheduler that is up but that this host alone
+// cannot reach.
 func (in *Intake) termIsFree(ctx context.Context, domain string) bool {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
@@ -105,7 +108,8 @@
 	return errors.Is(err, kvstore.ErrNotFound) || (err == nil && e.Lease == "")
 }
 
-// domainsNotStarting lists failure domains that have started nothing for long enough.
+// domainsNotStarting returns the failure domains that have been out of service for
+// permitLapseDelay, or without a scheduler for maxTimeWithoutScheduler.
 func (in *Intake) domainsNotStarting(snap *config.Snapshot) []string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -131,7 +135,9 @@
 	return out
 }
 
-// movingDomain picks one open failure domain, whose scheduler moves the jobs.
+// movingDomain returns the failure domain whose scheduler moves the jobs out of a
+// closed one. It is the one with the highest hash of those that start jobs, so that
+// all hosts choose the same one.
 func (in *Intake) movingDomain(snap *config.Snapshot, closed string) string {
 	best, top := "", uint64(0)
 	for name, d := range snap.FailureDomains {
@@ -146,6 +152,7 @@
 	return best
 }
 
+// moveQueuedJobsFrom moves the queued jobs of one failure domain to others.
 func (in *Intake) moveQueuedJobsFrom(ctx context.Context, snap *config.Snapshot, from string) error {
 	records, err := in.o.Ledgers.Jobs(from).ReadAll(ctx)
 	if err != nil {
@@ -167,11 +174,12 @@
 	return g.Wait()
 }
 
-// movable reports whether a job may run elsewhere.
+// movable reports whether a job may be moved to another failure domain.
 func movable(rec job.Record) bool {
 	return rec.State == job.Queued && rec.CancelBy == "" && rec.Spec.FailureDomain == ""
 }
 
+// moveJob marks a job's record as moved and completes the move.
 func (in *Intake) moveJob(ctx context.Context, key, from, to, reason string) error {
 	now := in.o.Now()
 	left, err := in.o.Ledgers.Jobs(from).Update(ctx, key, func(old job.Record, found bool) (job.Record, bool, error) {
@@ -189,8 +197,9 @@
 	return in.completeMove(ctx, key, from, left)
 }
 
-// completeMove completes a move: the record in its new ledger, then the index, then
-// the note that nothing is left to do. Any step may be repeated by any host.
+// completeMove completes a move whose old record is marked as moved. It writes the
+// record to the new ledger, then points the index to that, then marks the old
+// record as arrived. All steps are idempotent, and any host may repeat them.
 func (in *Intake) completeMove(ctx context.Context, key, from string, left job.Record) error {
 	if _, err := in.create(ctx, left.MovedTo, movedRecord(left, in.o.Now())); err != nil {
 		return err
@@ -211,7 +220,8 @@
 	return err
 }
 
-// finishMoves completes moves out of a ledger that their host left half done.
+// finishMoves completes the moves out of a ledger that another host began and did
+// not complete within permitLapseDelay.
 func (in *Intake) finishMoves(ctx context.Context, from string, records map[string]job.Record) {
 	var g errgroup.Group
 	for _, key := range sortedKeys(records) {
@@ -221,10 +231,11 @@
 		}
 	}
 	if err := g.Wait(); err != nil {
-		in.o.Logger.Warn("moves are completed later", "failureDomain", from, "err", err.Error())
+		in.o.Logger.Warn("completing moves of jobs failed; retrying in the next round", "failureDomain", from, "err", err.Error())
 	}
 }
 
+// sortedKeys returns the keys of m in order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/intake/peers.go
+++ b/intake/peers.go
@@ -6,14 +6,14 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// holdReply mirrors the answer of the gang slice's Hold method.
+// holdReply has the fields of the reply to the Hold method of package gang.
 type holdReply struct {
 	Reason string
 	Known  bool
 }
 
-// askHoldReason asks the entry hosts of a failure domain why a job waits; only the
-// one that schedules knows.
+// askHoldReason asks the entry hosts of a failure domain why a job waits. Only the
+// host that runs the scheduler can answer.
 func (in *Intake) askHoldReason(ctx context.Context, domain string, id job.ID) (string, bool) {
 	if in.o.Peers == nil {
 		return "", false
--- a/intake/pull.go
+++ b/intake/pull.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// pullInterval is the time between two looks at other failure domains' queues.
+	// pullInterval is the minimum time between two reads of other failure domains'
+	// queues.
 	pullInterval = 10 * time.Second
-	// minQueuedTime is how long a job has waited where it is before another failure
-	// domain may take it.
+	// minQueuedTime is how long a job must be queued in its failure domain before
+	// another one may pull it.
 	minQueuedTime = 15 * time.Second
-	// minTimeBetweenMoves is the least time between two moves of one job.
+	// minTimeBetweenMoves is the minimum time between two moves of one job.
 	minTimeBetweenMoves = 10 * time.Minute
 )
 
-// pull takes over queued jobs of failure domains in service that this one could
-// start at once, as after its return to service. It looks only while nothing
-// waits here, so that a busy failure domain costs no reads.
+// pull moves queued jobs here from other failure domains in service if this one
+// could start them at once, for example after its return to service. It does so
+// only while no job is queued here, so that a busy failure domain causes no reads.
 func (in *Intake) pull(ctx context.Context) {
 	now := in.o.Now()
 	snap, _ := in.o.Config.Current()
@@ -35,12 +36,13 @@
 			continue
 		}
 		if err := in.pullFrom(ctx, from); err != nil {
-			in.o.Logger.Warn("queued jobs were not taken over; it is tried again", "failureDomain", from, "err", err.Error())
+			in.o.Logger.Warn("pulling queued jobs failed; retrying after the pull interval", "failureDomain", from, "err", err.Error())
 		}
 	}
 }
 
-// hasQueuedJobs reports whether a job is queued in this failure domain.
+// hasQueuedJobs reports whether a job is or may be queued in this failure domain:
+// it returns true while the ledger is not read completely.
 func (in *Intake) hasQueuedJobs() bool {
 	records, _, complete := in.o.Ledgers.Jobs(in.o.FailureDomain).Snapshot()
 	for _, rec := range records {
@@ -51,6 +53,7 @@
 	return !complete
 }
 
+// pullFrom moves the jobs here that this failure domain can start at once.
 func (in *Intake) pullFrom(ctx context.Context, from string) error {
 	records, err := in.o.Ledgers.Jobs(from).ReadAll(ctx)
 	if err != nil {
@@ -74,7 +77,9 @@
 	return g.Wait()
 }
 
-// queuedLongEnough reports whether a queued job has waited long enough where it is.
+// queuedLongEnough reports whether a queued job may be pulled: it has been queued
+// in its failure domain for minQueuedTime, or for minTimeBetweenMoves if it was
+// moved before.
 func (in *Intake) queuedLongEnough(rec job.Record) bool {
 	since := rec.Submitted
 	if n := len(rec.History); n > 0 {
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -15,7 +15,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// pullingHost returns the intake of a host whose scheduler has room for the named jobs.
+// pullingHost returns the intake of a host whose scheduler can start the named jobs
+// at once.
 func (s *site) pullingHost(t *testing.T, domain string, names ...string) *intake.Intake {
 	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -37,9 +38,9 @@
 	})
 }
 
-// A failure domain with room takes queued jobs that have waited elsewhere: not
-// pinned ones, none twice within the rest, and none for a failure domain that
-// is out.
+// A failure domain that can start queued jobs of others pulls them, except jobs
+// pinned to a failure domain and jobs moved within the last 10 minutes. A failure
+// domain that is out of service pulls none.
 func TestFailureDomainWithRoomTakesWaitingJobs(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -67,8 +68,8 @@
 	for range 20 {
 		s.advanceClock(time.Minute)
 		other.Maintain(ctx)
-		must.Eq(t, all, queuedIn("fd1"), must.Sprint("fd2 is out"))
-		time.Sleep(10 * time.Millisecond) // its own ledger is read meanwhile
+		must.Eq(t, all, queuedIn("fd1"), must.Sprint("fd2 is out of service"))
+		time.Sleep(10 * time.Millisecond) // lets Run read the ledger of fd2
 	}
 
 	s.edit(func(c *config.Snapshot) {
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -14,19 +14,19 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// maxFollowedMoves bounds how far a moved job is followed.
+// maxFollowedMoves limits the moves of a job that one call follows.
 const maxFollowedMoves = 8
 
-// Submit takes a job, or finds the one that its ID names already. A nil error
-// means that the job is in the ledger.
+// Submit stores a job, or returns the existing job of the same ID and spec. A nil
+// error means that the job is in the ledger.
 func (in *Intake) Submit(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
 	if rec, err, ok := in.forward(ctx, methodSubmit, SubmitCall{Who: who, Spec: spec, Trace: telemetry.TraceParent(ctx)}); ok {
 		return rec, err
 	}
-	return in.submitHere(ctx, who, spec)
+	return in.submitLocal(ctx, who, spec)
 }
 
-func (in *Intake) submitHere(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
+func (in *Intake) submitLocal(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	rec, err := in.submit(ctx, who, spec)
@@ -59,8 +59,9 @@
 	return in.create(ctx, claim.FailureDomain, rec)
 }
 
-// findRepeated answers a submission that would be refused now with the job that it
-// made earlier, if there is one.
+// findRepeated returns the job that an earlier submission of the same spec created,
+// if this one is refused because the service is retired since or the shape no
+// longer fits. Otherwise it returns the refusal.
 func (in *Intake) findRepeated(ctx context.Context, who auth.Identity, spec job.Spec, refusal error) (job.Record, error) {
 	if apierr.KindOf(refusal) != apierr.Retired && apierr.KindOf(refusal) != apierr.Infeasible {
 		return job.Record{}, refusal
@@ -72,7 +73,8 @@
 	return rec, nil
 }
 
-// claimID binds the ID to a failure domain, once and for all hosts.
+// claimID binds the ID to a failure domain in the index, unless it is bound
+// already. It returns the entry that all hosts use.
 func (in *Intake) claimID(ctx context.Context, spec job.Spec, domain string) (ledger.Claim, error) {
 	digest := ledger.Digest(spec)
 	now := in.o.Now()
@@ -92,8 +94,8 @@
 		"job "+id.String()+" exists with another spec", "choose another name, or send the same spec again")
 }
 
-// create puts the record into a ledger unless the job is there, and follows it
-// when it has moved on.
+// create writes the record to a ledger unless the job exists there. If the job was
+// moved to another failure domain, create continues in the ledger of that one.
 func (in *Intake) create(ctx context.Context, domain string, rec job.Record) (job.Record, error) {
 	for range maxFollowedMoves {
 		rec.FailureDomain = domain
@@ -111,10 +113,11 @@
 		domain = got.MovedTo
 		rec = movedRecord(got, in.o.Now())
 	}
-	return job.Record{}, apierr.New(apierr.Unavailable, "the job moves between failure domains", "ask again shortly")
+	return job.Record{}, apierr.New(apierr.Unavailable, "the job moved between failure domains too often to be followed", "send the same call again")
 }
 
-// movedRecord returns a moved job's record as it begins in its new ledger.
+// movedRecord returns the first record of a moved job in its new ledger, from the
+// record left in the old one.
 func movedRecord(left job.Record, now time.Time) job.Record {
 	rec := left
 	rec.MovedTo, rec.Arrived = "", false
@@ -125,8 +128,8 @@
 	return rec
 }
 
-// Find returns a job as the store has it now. A job that the sender may not see
-// is not found.
+// Find returns the current record of a job from the store. For a job that the
+// caller may not see it returns the same error as for one that does not exist.
 func (in *Intake) Find(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	rec, _, err := in.locate(ctx, who, id)
 	return rec, storeError(err)
@@ -136,6 +139,7 @@
 	return apierr.New(apierr.NotFound, "no job "+id.String(), "check the name; ended jobs are kept for a limited time")
 }
 
+// locate returns a job's record and the failure domain whose ledger holds it.
 func (in *Intake) locate(ctx context.Context, who auth.Identity, id job.ID) (job.Record, string, error) {
 	if !who.MaySee(id.Organisation) {
 		return job.Record{}, "", errNoJob(id)
@@ -150,7 +154,8 @@
 	return in.followMoves(ctx, claim.FailureDomain, id)
 }
 
-// followMoves reads a job's record from the ledger that has it now.
+// followMoves reads a job's record, starting in the ledger of domain and following
+// its moves.
 func (in *Intake) followMoves(ctx context.Context, domain string, id job.ID) (job.Record, string, error) {
 	var left job.Record
 	for range maxFollowedMoves {
@@ -159,7 +164,7 @@
 		case err != nil:
 			return job.Record{}, "", err
 		case !found && left.MovedTo != "":
-			return movedRecord(left, in.o.Now()), domain, nil // the move is half done
+			return movedRecord(left, in.o.Now()), domain, nil // the move is not completed yet
 		case !found:
 			return job.Record{}, "", errNoJob(id)
 		case rec.State != job.Moved:
@@ -167,19 +172,19 @@
 		}
 		left, domain = rec, rec.MovedTo
 	}
-	return job.Record{}, "", apierr.New(apierr.Unavailable, "the job moves between failure domains", "ask again shortly")
+	return job.Record{}, "", apierr.New(apierr.Unavailable, "the job moved between failure domains too often to be followed", "send the same call again")
 }
 
-// Cancel asks for a job's end. A queued job ends at once; a running one is
-// stopped by its scheduler. Repeating it is harmless.
+// Cancel requests the cancellation of a job. A queued job ends at once; a running
+// one is stopped by its scheduler. Cancel is idempotent.
 func (in *Intake) Cancel(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	if rec, err, ok := in.forward(ctx, methodCancel, CancelCall{Who: who, ID: id, Trace: telemetry.TraceParent(ctx)}); ok {
 		return rec, err
 	}
-	return in.cancelHere(ctx, who, id)
+	return in.cancelLocal(ctx, who, id)
 }
 
-func (in *Intake) cancelHere(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
+func (in *Intake) cancelLocal(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	_, domain, err := in.locate(ctx, who, id)
@@ -207,7 +212,7 @@
 	return rec, storeError(err)
 }
 
-// storeError turns the store's failures into errors with a remedy.
+// storeError converts errors of the store to errors with a remedy.
 func storeError(err error) error {
 	var typed *apierr.Error
 	switch {
@@ -220,6 +225,6 @@
 			"the platform did not confirm the write", "send the same call again; it takes effect once at most")
 	default:
 		return apierr.New(apierr.Unavailable,
-			"the platform's store does not answer, nothing was written", "send the same call again later")
+			"the platform's store does not answer; nothing was written", "send the same call again later")
 	}
 }
