--- a/claims/segment.go
+++ b/claims/segment.go
@@ -42,8 +42,8 @@
 
 const segmentFormat = 1
 
-// wireSegment is the fixed-size header of a segment in the store; Events
-// wireEvents follow it.
+// wireSegment is the fixed-size header of a segment in the store. It is followed by
+// as many values of wireEvent as Events says.
 type wireSegment struct {
 	Format       uint8
 	Term         uint64
--- a/claims/service.go
+++ b/claims/service.go
@@ -57,7 +57,7 @@
 	EventsPerSegment int           // maximum; each key takes two events
 	Retention        time.Duration // minimum time for which a key is kept
 	CommitInterval   time.Duration // minimum time between two writes of a shard
-	CompletionDelay  time.Duration // maximum time for which a completion waits for a claim to be written with
+	CompletionDelay  time.Duration // maximum time for which a completion is queued before it is written
 	LeaseTTL         time.Duration
 
 	commits *metrics.Counter
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -270,7 +270,7 @@
 }
 
 // refuseGroup drops a group for which the log has no space. After a change of
-// owner, the keys of dropped completions have the verdict Unknown.
+// owner, the verdict on the keys of dropped completions becomes Unknown.
 func (s *shard) refuseGroup(group []queuedEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/intake/ledger/ledger.go
+++ b/intake/ledger/ledger.go
@@ -66,7 +66,7 @@
 type Options struct {
 	Store         kvstore.Store
 	Shards        int           // 0: DefaultShards; the same on every host
-	WriteInterval time.Duration // 0: DefaultGap
+	WriteInterval time.Duration // minimum time between two writes of a shard; 0: DefaultWriteInterval
 	Now           func() time.Time
 	Logger        *log.Logger
 	Metrics       *metrics.Set
--- a/intake/ledger/table.go
+++ b/intake/ledger/table.go
@@ -31,7 +31,7 @@
 	Store         kvstore.Store
 	Prefix        string        // of the shards' keys in the store, such as "jobs/ledger/fd1"
 	Shards        int           // 0: DefaultShards; the same on every host
-	WriteInterval time.Duration // 0: DefaultGap
+	WriteInterval time.Duration // minimum time between two writes of a shard; 0: DefaultWriteInterval
 	Now           func() time.Time
 	Logger        *log.Logger  // nil: the default logger
 	Metrics       *metrics.Set // nil: a private set
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -41,7 +41,7 @@
 // A failure domain that can start queued jobs of others pulls them, except jobs
 // pinned to a failure domain and jobs moved within the last 10 minutes. A failure
 // domain that is out of service pulls none.
-func TestFailureDomainWithRoomTakesWaitingJobs(t *testing.T) {
+func TestFailureDomainPullsJobsItCanStart(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	ctx := context.Background()
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -26,6 +26,7 @@
 	return in.submitLocal(ctx, who, spec)
 }
 
+// submitLocal handles a submission on this host, also for other entry hosts.
 func (in *Intake) submitLocal(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
@@ -184,6 +185,7 @@
 	return in.cancelLocal(ctx, who, id)
 }
 
+// cancelLocal handles a cancellation on this host, also for other entry hosts.
 func (in *Intake) cancelLocal(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
