--- a/claims/bound.go
+++ b/claims/bound.go
@@ -8,20 +8,23 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
+// maxBoundKeys limits the records of bound keys that a host keeps in memory.
 const maxBoundKeys = 100_000
 
-// boundTo returns the incarnation that a key is bound to.
-func boundTo(key string) (incarnation string, ok bool) {
+// boundIncarnation returns the incarnation that a key is bound to; ok is false
+// for a key without the prefix of an incarnation.
+func boundIncarnation(key string) (incarnation string, ok bool) {
 	incarnation, _, found := strings.Cut(key, boundSeparator)
 	dot := strings.LastIndex(incarnation, ".")
 	return incarnation, found && dot > 0 && len(incarnation)-dot-1 == 2*incarnationBytes
 }
 
-// claimBound claims a key at the incarnation it is bound to. When that has
-// ended, its memory of the key is gone and the key is unknown for good.
+// claimBound claims a key at the host of the incarnation it is bound to. The
+// records of an incarnation that has ended are lost, so the verdict on its keys
+// is Unknown from then on.
 func (s *Service) claimBound(ctx context.Context, incarnation string, req Request) (Reply, error) {
 	if incarnation == s.incarnation {
-		return s.claimHere(req)
+		return s.claimLocal(req)
 	}
 	var reply Reply
 	found, err := s.callBound(ctx, incarnation, "Claims.Claim", req, &reply)
@@ -31,7 +34,7 @@
 	return reply, err
 }
 
-func (s *Service) claimHere(req Request) (Reply, error) {
+func (s *Service) claimLocal(req Request) (Reply, error) {
 	s.boundMu.Lock()
 	defer s.boundMu.Unlock()
 	if s.bound.records[hashKey(req.Key)] == nil && len(s.bound.records) >= maxBoundKeys {
@@ -70,8 +73,8 @@
 	return reply, err
 }
 
-// callBound calls the host of an incarnation; found is false when no listed
-// host has its name.
+// callBound calls the host of an incarnation. found is false when membership
+// lists no entry host of its name.
 func (s *Service) callBound(ctx context.Context, incarnation, method string, args, reply any) (found bool, err error) {
 	name := incarnation[:strings.LastIndex(incarnation, ".")]
 	hosts := s.opts.Membership.View().Select(func(h kvstore.Host) bool {
@@ -86,16 +89,16 @@
 	return true, nil
 }
 
-// RegisterPeer offers the service to the other entry hosts.
+// RegisterPeer registers the methods that other entry hosts call with p.
 func (s *Service) RegisterPeer(p *peer.Server) error { return p.Register("Claims", &endpoint{s}) }
 
 // endpoint serves other entry hosts' calls over net/rpc.
 type endpoint struct{ service *Service }
 
-// Claim grants a key that this host decides on.
+// Claim claims a key that is bound to this host or whose shard it owns.
 func (e *endpoint) Claim(req Request, reply *Reply) error {
-	if incarnation, ok := boundTo(req.Key.Key); ok {
-		return e.bound(incarnation, reply, func() (Reply, error) { return e.service.claimHere(req) })
+	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
+		return e.answerBound(incarnation, reply, func() (Reply, error) { return e.service.claimLocal(req) })
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -108,9 +111,9 @@
 	return err
 }
 
-// Complete records the end of an attempt.
+// Complete records the outcome of an attempt.
 func (e *endpoint) Complete(c Completion, _ *Ack) error {
-	if incarnation, ok := boundTo(c.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(c.Key.Key); ok {
 		if incarnation != e.service.incarnation {
 			return nil
 		}
@@ -123,10 +126,10 @@
 	return sh.complete(c)
 }
 
-// Outcome looks a key up.
+// Outcome looks a key up without claiming it.
 func (e *endpoint) Outcome(k Key, reply *Reply) error {
-	if incarnation, ok := boundTo(k.Key); ok {
-		return e.bound(incarnation, reply, func() (Reply, error) {
+	if incarnation, ok := boundIncarnation(k.Key); ok {
+		return e.answerBound(incarnation, reply, func() (Reply, error) {
 			return e.service.lookupBound(context.Background(), incarnation, k)
 		})
 	}
@@ -139,17 +142,19 @@
 	return err
 }
 
-// bound answers for this incarnation; a key of an earlier one is unknown.
-func (e *endpoint) bound(incarnation string, reply *Reply, here func() (Reply, error)) error {
+// answerBound calls local if incarnation is the current one of this host, and
+// otherwise sets the verdict to Unknown.
+func (e *endpoint) answerBound(incarnation string, reply *Reply, local func() (Reply, error)) error {
 	if incarnation != e.service.incarnation {
 		*reply = Reply{Verdict: Unknown}
 		return nil
 	}
-	got, err := here()
+	got, err := local()
 	*reply = got
 	return err
 }
 
+// shard returns the shard of a key, or nil when this host does not own it.
 func (e *endpoint) shard(k Key) *shard {
 	e.service.mu.Lock()
 	defer e.service.mu.Unlock()
--- a/claims/lease.go
+++ b/claims/lease.go
@@ -12,12 +12,14 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-func headKey(shard int) string { return fmt.Sprintf("claims/%d/owner", shard) }
+// ownerKey returns the store key that names a shard's owner.
+func ownerKey(shard int) string { return fmt.Sprintf("claims/%d/owner", shard) }
 
-// leaseKeeper holds the one lease under which a host owns shards. The lease
-// only decides who takes a shard over; what a late owner writes is refused by
-// the journal, not by the lease. It is safe for concurrent use.
-type leaseKeeper struct {
+// leaseManager holds the one lease under which a host owns shards. The lease
+// only decides which host takes a shard over. Writes of an owner whose lease has
+// lapsed are refused by the journal's compare-and-swap, not by the lease. It is
+// safe for concurrent use.
+type leaseManager struct {
 	store kvstore.Store
 	ttl   time.Duration
 
@@ -25,8 +27,9 @@
 	lease kvstore.Lease // empty ID: none
 }
 
-// get returns the lease, and asks for one when there is none.
-func (k *leaseKeeper) get(ctx context.Context) (kvstore.Lease, error) {
+// getOrGrant returns the lease, and requests one from the store when there is
+// none.
+func (k *leaseManager) getOrGrant(ctx context.Context) (kvstore.Lease, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease.ID != "" {
@@ -39,8 +42,8 @@
 	return lease, err
 }
 
-// lost forgets a lease that has lapsed.
-func (k *leaseKeeper) lost(lease kvstore.Lease) {
+// forget drops a lease that has lapsed, so that getOrGrant requests a new one.
+func (k *leaseManager) forget(lease kvstore.Lease) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease.ID == lease.ID {
@@ -48,8 +51,8 @@
 	}
 }
 
-// run renews the lease until ctx ends.
-func (k *leaseKeeper) run(ctx context.Context, interval time.Duration) {
+// renewUntilDone renews the lease at each interval until ctx ends.
+func (k *leaseManager) renewUntilDone(ctx context.Context, interval time.Duration) {
 	for pause.For(ctx, interval) {
 		k.mu.Lock()
 		lease := k.lease
@@ -61,19 +64,20 @@
 		err := k.store.Renew(callCtx, lease)
 		cancel()
 		if errors.Is(err, kvstore.ErrLeaseLost) {
-			k.lost(lease)
+			k.forget(lease)
 		}
 	}
 }
 
-// drop gives the lease up, so that others may take its shards at once.
-func (k *leaseKeeper) drop(ctx context.Context) {
+// revokeWithTimeout calls revoke and waits for at most callTimeout.
+func (k *leaseManager) revokeWithTimeout(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.revoke(ctx)
 }
 
-func (k *leaseKeeper) revoke(ctx context.Context) {
+// revoke ends the lease, so that other hosts can take its shards over at once.
+func (k *leaseManager) revoke(ctx context.Context) {
 	k.mu.Lock()
 	lease := k.lease
 	k.lease = kvstore.Lease{}
--- a/claims/service.go
+++ b/claims/service.go
@@ -22,7 +22,7 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultShards           = 2
 	DefaultSegments         = 256
@@ -34,17 +34,17 @@
 )
 
 const (
-	renewFraction    = 3 // a lease is renewed this often in its TTL
-	takeOverSpread   = 300 * time.Millisecond
-	routeRetry       = 50 * time.Millisecond
-	expireInterval   = time.Minute
-	watchTimeout     = 15 * time.Second // the store answers a watch within 10 s
-	incarnationBytes = 8
-	boundSeparator   = "~"
+	renewalsPerTTL        = 3
+	takeOverDelayPerShard = 300 * time.Millisecond // for each shard already owned
+	ownerRetryInterval    = 50 * time.Millisecond
+	expireInterval        = time.Minute
+	watchTimeout          = 15 * time.Second // the store answers a watch within 10 s
+	incarnationBytes      = 8
+	boundSeparator        = "~"
 )
 
-// Options are what a Service needs. Shards, Segments and EventsPerSegment must
-// be the same on every entry host.
+// Options configures a Service. Shards, Segments and EventsPerSegment must be
+// the same on every entry host.
 type Options struct {
 	Now              func() time.Time // nil: time.Now
 	Logger           *log.Logger      // nil: nothing is logged
@@ -53,11 +53,11 @@
 	Peers            peer.Caller
 	Membership       membership.Source
 	Shards           int
-	Segments         int           // values in the ring of a shard's log
-	EventsPerSegment int           // two events a key
-	Retention        time.Duration // how long a key is kept at least
-	CommitInterval   time.Duration // least time between two writes of a shard
-	CompletionDelay  time.Duration // longest wait of an attempt's end for a write
+	Segments         int           // number of values in the ring of a shard's log
+	EventsPerSegment int           // maximum; each key takes two events
+	Retention        time.Duration // minimum time for which a key is kept
+	CommitInterval   time.Duration // minimum time between two writes of a shard
+	CompletionDelay  time.Duration // maximum time for which a completion is queued before it is written
 	LeaseTTL         time.Duration
 
 	commits *metrics.Counter
@@ -87,7 +87,7 @@
 	}
 }
 
-// owner is the value of a shard's head key.
+// owner is the value of a shard's owner key.
 type owner struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"` // IP:port of its peer listener
@@ -95,23 +95,23 @@
 }
 
 // Service claims keys for the requests of this entry host, and for those of
-// others whose keys' shards it owns. It is safe for concurrent use.
+// other entry hosts whose keys' shards it owns. It is safe for concurrent use.
 type Service struct {
 	opts        Options
 	incarnation string
-	lease       leaseKeeper
+	lease       leaseManager
 
-	storeFails atomic.Bool // the last read of a shard's head failed
+	storeFailing atomic.Bool // the last read of an owner key failed
 
 	mu     sync.Mutex
 	owned  map[int]*shard
-	owners map[int]owner // as last read
+	owners map[int]owner // by shard, as last read from the store
 
 	boundMu sync.Mutex
 	bound   *table // keys bound to this incarnation
 }
 
-// New returns a service. It owns no shard until Run runs.
+// New returns a service. It owns no shards before Run is called.
 func New(o Options) *Service {
 	o = o.withDefaults()
 	s := &Service{
@@ -123,23 +123,24 @@
 	var random [incarnationBytes]byte
 	_, _ = rand.Read(random[:])
 	s.incarnation = o.Membership.View().Self.Name + "." + hex.EncodeToString(random[:])
-	s.lease = leaseKeeper{store: o.Store, ttl: o.LeaseTTL}
+	s.lease = leaseManager{store: o.Store, ttl: o.LeaseTTL}
 	return s
 }
 
-// Incarnation returns the prefix of keys bound to this process: a caller that
-// sends "<incarnation>~<its own key>" needs no platform for its claim.
+// Incarnation returns the prefix of keys bound to this process. A claim of a key
+// of the form "<incarnation>~<caller's key>" needs no platform.
 func (s *Service) Incarnation() string { return s.incarnation }
 
-// Claim asks for the right to execute a key. It returns Granted for one attempt
-// of a key only, until that attempt is completed as not run. An error means
-// that nothing was granted. It waits for a change of owner while ctx lasts.
+// Claim requests the right to execute a key's request. It returns Granted to one
+// attempt only, until that attempt is completed as not run. An error means that
+// nothing was granted. While the shard's owner changes, Claim retries until ctx
+// ends.
 func (s *Service) Claim(ctx context.Context, req Request) (Reply, error) {
-	if incarnation, ok := boundTo(req.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
 		return s.claimBound(ctx, incarnation, req)
 	}
 	var reply Reply
-	err := s.atOwner(ctx, req.Key, "Claims.Claim", req, &reply, func(sh *shard) (err error) {
+	err := s.callOwner(ctx, req.Key, "Claims.Claim", req, &reply, func(sh *shard) (err error) {
 		reply, err = sh.claim(ctx, req)
 		return err
 	})
@@ -148,20 +149,20 @@
 
 // Complete records how a granted attempt ended.
 func (s *Service) Complete(ctx context.Context, c Completion) error {
-	if incarnation, ok := boundTo(c.Key.Key); ok {
+	if incarnation, ok := boundIncarnation(c.Key.Key); ok {
 		return s.completeBound(ctx, incarnation, c)
 	}
 	var ack Ack
-	return s.atOwner(ctx, c.Key, "Claims.Complete", c, &ack, func(sh *shard) error { return sh.complete(c) })
+	return s.callOwner(ctx, c.Key, "Claims.Complete", c, &ack, func(sh *shard) error { return sh.complete(c) })
 }
 
 // Outcome looks a key up without claiming it.
 func (s *Service) Outcome(ctx context.Context, k Key) (Reply, error) {
-	if incarnation, ok := boundTo(k.Key); ok {
+	if incarnation, ok := boundIncarnation(k.Key); ok {
 		return s.lookupBound(ctx, incarnation, k)
 	}
 	var reply Reply
-	err := s.atOwner(ctx, k, "Claims.Outcome", k, &reply, func(sh *shard) (err error) {
+	err := s.callOwner(ctx, k, "Claims.Outcome", k, &reply, func(sh *shard) (err error) {
 		reply, err = sh.lookup(k)
 		return err
 	})
@@ -174,24 +175,26 @@
 	return int(h[0]) % s.opts.Shards
 }
 
-// atOwner runs local when this host owns the key's shard, and calls the owner
-// otherwise. It retries while the owner changes, until ctx ends; without the
-// platform no owner can change, so it gives up then.
-func (s *Service) atOwner(ctx context.Context, k Key, method string, args, reply any, local func(*shard) error) error {
+// callOwner runs local when this host owns the key's shard, and calls the owner
+// otherwise. It retries while the owner changes, until ctx ends. While the
+// platform cannot be reached the owner cannot change, so callOwner returns
+// ErrUnavailable without retrying.
+func (s *Service) callOwner(ctx context.Context, k Key, method string, args, reply any, local func(*shard) error) error {
 	index := s.shardOf(k)
 	for {
-		err := s.tryOwner(ctx, index, method, args, reply, local)
+		err := s.callOwnerOnce(ctx, index, method, args, reply, local)
 		if !errors.Is(err, errNotOwner) {
 			return err
 		}
-		if s.storeFails.Load() || !pause.For(ctx, routeRetry) {
+		if s.storeFailing.Load() || !pause.For(ctx, ownerRetryInterval) {
 			return ErrUnavailable
 		}
 	}
 }
 
-// tryOwner returns errNotOwner when another try may succeed.
-func (s *Service) tryOwner(ctx context.Context, index int, method string, args, reply any, local func(*shard) error) error {
+// callOwnerOnce makes one attempt of callOwner. It returns errNotOwner when a
+// retry may succeed.
+func (s *Service) callOwnerOnce(ctx context.Context, index int, method string, args, reply any, local func(*shard) error) error {
 	s.mu.Lock()
 	sh, to := s.owned[index], s.owners[index]
 	s.mu.Unlock()
@@ -205,7 +208,8 @@
 	return remoteError(err)
 }
 
-// remoteError gives an error that crossed a peer connection its type back.
+// remoteError restores the type of an error that a peer returned: net/rpc sends
+// only its text. Errors of unknown text become errNotOwner.
 func remoteError(err error) error {
 	if err == nil {
 		return nil
@@ -218,14 +222,15 @@
 	return errNotOwner
 }
 
-// Run keeps this host's shards until ctx ends, and then hands them over.
+// Run takes shards over and serves them until ctx ends. It then revokes the
+// lease, so that other hosts can take the shards over.
 func (s *Service) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for index := range s.opts.Shards {
-		wg.Go(func() { s.follow(ctx, index) })
+		wg.Go(func() { s.superviseShard(ctx, index) })
 	}
-	wg.Go(func() { s.lease.run(ctx, s.opts.LeaseTTL/renewFraction) })
-	wg.Go(func() { s.expire(ctx) })
+	wg.Go(func() { s.lease.renewUntilDone(ctx, s.opts.LeaseTTL/renewalsPerTTL) })
+	wg.Go(func() { s.expireUntilDone(ctx) })
 	wg.Wait()
 	handover, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -233,7 +238,8 @@
 	return nil
 }
 
-func (s *Service) expire(ctx context.Context) {
+// expireUntilDone removes expired records at each expireInterval until ctx ends.
+func (s *Service) expireUntilDone(ctx context.Context) {
 	for pause.For(ctx, expireInterval) {
 		s.mu.Lock()
 		for _, sh := range s.owned {
@@ -246,24 +252,25 @@
 	}
 }
 
-// follow watches a shard's head key and takes the shard over when nobody holds it.
-func (s *Service) follow(ctx context.Context, index int) {
-	key := headKey(index)
-	seen := uint64(0)
-	backoff := firstBackoff
-	first := true
+// superviseShard watches a shard's owner key, and takes the shard over and serves
+// it when no host holds it.
+func (s *Service) superviseShard(ctx context.Context, index int) {
+	key := ownerKey(index)
+	version := uint64(0)
+	backoff := initialBackoff
+	immediate := true
 	for ctx.Err() == nil {
-		head, err := s.read(ctx, key, seen, first)
-		s.storeFails.Store(err != nil)
+		head, err := s.readOwnerKey(ctx, key, version, immediate)
+		s.storeFailing.Store(err != nil)
 		if err != nil {
-			first = true
+			immediate = true
 			pause.For(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		backoff, first = firstBackoff, false
-		seen = head.Version
-		s.learn(index, head)
+		backoff, immediate = initialBackoff, false
+		version = head.Version
+		s.recordOwner(index, head)
 		if head.Lease != "" {
 			continue
 		}
@@ -271,14 +278,16 @@
 			return
 		}
 		if term, ok := s.acquire(ctx, index); ok {
-			s.hold(ctx, index, term)
+			s.serveShard(ctx, index, term)
 		}
-		first = true // read the head again now, not after the next change
+		immediate = true // read the owner key now instead of waiting for its next change
 	}
 }
 
-func (s *Service) read(ctx context.Context, key string, seen uint64, first bool) (kvstore.Entry, error) {
-	if !first {
+// readOwnerKey returns the entry of an owner key: at once if immediate is set,
+// otherwise when its version differs from seen or the watch times out.
+func (s *Service) readOwnerKey(ctx context.Context, key string, seen uint64, immediate bool) (kvstore.Entry, error) {
+	if !immediate {
 		ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 		defer cancel()
 		return s.opts.Store.Watch(ctx, key, seen)
@@ -292,11 +301,12 @@
 	return e, err
 }
 
-func (s *Service) learn(index int, head kvstore.Entry) {
+// recordOwner stores the owner that an owner key names, for callOwner.
+func (s *Service) recordOwner(index int, head kvstore.Entry) {
 	var o owner
 	if len(head.Value) > 0 {
 		if err := json.Unmarshal(head.Value, &o); err != nil {
-			s.opts.Logger.Warn("A shard's owner is unreadable", "shard", index, "err", err)
+			s.opts.Logger.Warn("decoding the owner of a claims shard failed", "shard", index, "err", err)
 		}
 	}
 	s.mu.Lock()
@@ -304,14 +314,17 @@
 	s.owners[index] = o
 }
 
-// takeOverDelay spreads the shards over the hosts: one that owns some lets
-// others go first.
+// takeOverDelay returns how long this host waits before it takes over one more
+// shard. It grows with the number of shards that the host owns, so that the
+// shards spread over the hosts.
 func (s *Service) takeOverDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(len(s.owned)) * takeOverSpread
+	return time.Duration(len(s.owned)) * takeOverDelayPerShard
 }
 
+// acquire makes this host the owner of a shard in the store. The term is the
+// version of the owner key.
 func (s *Service) acquire(ctx context.Context, index int) (term uint64, ok bool) {
 	self := s.opts.Membership.View().Self
 	value, err := json.Marshal(owner{Name: self.Name, Address: self.PeerAddress, Incarnation: s.incarnation})
@@ -320,64 +333,66 @@
 	}
 	callCtx, cancel := context.WithTimeout(kvstore.Urgent(ctx), callTimeout)
 	defer cancel()
-	lease, err := s.lease.get(callCtx)
+	lease, err := s.lease.getOrGrant(callCtx)
 	if err != nil {
-		pause.For(ctx, firstBackoff)
+		pause.For(ctx, initialBackoff)
 		return 0, false
 	}
-	e, err := s.opts.Store.Acquire(callCtx, headKey(index), value, lease)
+	e, err := s.opts.Store.Acquire(callCtx, ownerKey(index), value, lease)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrConflict) || errors.Is(err, kvstore.ErrLeaseLost) {
-			s.lease.lost(lease)
+			s.lease.forget(lease)
 		}
-		pause.For(ctx, firstBackoff)
+		pause.For(ctx, initialBackoff)
 		return 0, false
 	}
 	return e.Version, true
 }
 
-// hold owns a shard until another host takes it over or ctx ends.
-func (s *Service) hold(ctx context.Context, index int, term uint64) {
+// serveShard opens a shard that this host has acquired, and serves it until
+// another host takes it over or ctx ends.
+func (s *Service) serveShard(ctx context.Context, index int, term uint64) {
 	sh, err := openShard(ctx, &s.opts, index, term)
 	if err != nil {
-		s.opts.Logger.Warn("Taking a shard of claims over failed", "shard", index, "err", err)
-		s.lease.drop(ctx)
+		s.opts.Logger.Warn("taking over a claims shard failed", "shard", index, "err", err)
+		s.lease.revokeWithTimeout(ctx)
 		pause.For(ctx, maxBackoff)
 		return
 	}
-	s.opts.Logger.Info("Owning a shard of claims", "shard", index, "term", term)
-	s.own(index, sh)
-	defer s.own(index, nil)
-	holdCtx, cancel := context.WithCancel(ctx)
+	s.opts.Logger.Info("claims shard taken over", "shard", index, "term", term)
+	s.setOwned(index, sh)
+	defer s.setOwned(index, nil)
+	shardCtx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
-	watching.Go(func() { s.watchTerm(holdCtx, index, term, cancel) })
-	err = sh.run(holdCtx)
+	watching.Go(func() { s.watchTerm(shardCtx, index, term, cancel) })
+	err = sh.run(shardCtx)
 	cancel()
 	watching.Wait()
 	if ctx.Err() == nil {
-		s.opts.Logger.Warn("Lost a shard of claims", "shard", index, "err", err)
+		s.opts.Logger.Warn("claims shard lost", "shard", index, "err", err)
 	}
 }
 
-// watchTerm ends the holding when another host has acquired the shard.
-func (s *Service) watchTerm(ctx context.Context, index int, term uint64, lost func()) {
-	seen, failed := term, false
+// watchTerm calls onLost when another host has acquired the shard.
+func (s *Service) watchTerm(ctx context.Context, index int, term uint64, onLost func()) {
+	version, failed := term, false
 	for ctx.Err() == nil {
-		head, err := s.read(ctx, headKey(index), seen, failed)
+		head, err := s.readOwnerKey(ctx, ownerKey(index), version, failed)
 		failed = err != nil
 		if err != nil {
 			pause.For(ctx, maxBackoff)
 			continue
 		}
-		seen = head.Version
+		version = head.Version
 		if head.Version != term {
-			lost()
+			onLost()
 			return
 		}
 	}
 }
 
-func (s *Service) own(index int, sh *shard) {
+// setOwned records that this host owns a shard; nil: that it no longer does.
+func (s *Service) setOwned(index int, sh *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sh == nil {
--- a/entryhost/slices.go
+++ b/entryhost/slices.go
@@ -170,11 +170,11 @@
 
 func (s *slices) buildJobs(h *Host) {
 	s.ledgers = ledger.New(ledger.Options{
-		Store:   s.platform,
-		Gap:     h.opts.Settings.Timing.LedgerBatch(),
-		Now:     h.opts.Now,
-		Logger:  h.opts.Logger.WithPrefix("ledger"),
-		Metrics: h.opts.Metrics,
+		Store:         s.platform,
+		WriteInterval: h.opts.Settings.Timing.LedgerBatch(),
+		Now:           h.opts.Now,
+		Logger:        h.opts.Logger.WithPrefix("ledger"),
+		Metrics:       h.opts.Metrics,
 	})
 	failureDomain := h.opts.Settings.Host.FailureDomain
 	s.scheduler = gang.New(gang.Options{
@@ -195,9 +195,9 @@
 		Config:        s.config,
 		Membership:    s.membership,
 		Election:      s.election,
-		Hold:          s.scheduler.WaitReason,
-		Takes:         s.scheduler.StartableJobs,
-		Serving:       s.serving,
+		HoldReason:          s.scheduler.WaitReason,
+		SelectStartable:         s.scheduler.StartableJobs,
+		HasScheduler:       s.serving,
 		Peers:         s.peers,
 		Now:           h.opts.Now,
 		Logger:        h.opts.Logger.WithPrefix("intake"),
--- a/intake/http.go
+++ b/intake/http.go
@@ -16,24 +16,26 @@
 )
 
 const (
-	maxSpecBytes = 64 << 10
-	peerTimeout  = time.Second
-	methodHold   = "Gangs.Hold"
+	maxSpecBytes    = 64 << 10
+	holdCallTimeout = time.Second
+	methodHold      = "Gangs.Hold"
 )
 
-// Register adds the job calls to mux. The sender's identity is in each
-// request's context.
+// Register adds the job calls to mux. The context of each request must hold the
+// caller's identity.
 func (in *Intake) Register(mux *http.ServeMux) {
-	const one = "/v1/jobs/{organisation}/{service}/{name}"
+	const jobPath = "/v1/jobs/{organisation}/{service}/{name}"
 	mux.HandleFunc("POST /v1/jobs", handle(in.serveSubmit))
 	mux.HandleFunc("GET /v1/jobs", handle(in.serveList))
-	mux.HandleFunc("GET "+one, handle(in.serveStatus))
-	mux.HandleFunc("GET "+one+"/explain", handle(in.serveExplain))
-	mux.HandleFunc("DELETE "+one, handle(in.serveCancel))
+	mux.HandleFunc("GET "+jobPath, handle(in.serveStatus))
+	mux.HandleFunc("GET "+jobPath+"/explain", handle(in.serveExplain))
+	mux.HandleFunc("DELETE "+jobPath, handle(in.serveCancel))
 }
 
+// handler serves a call of an authenticated caller and returns the reply's body.
 type handler func(r *http.Request, who auth.Identity) (any, error)
 
+// handle returns h as an http.HandlerFunc that writes the reply or error as JSON.
 func handle(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, err := auth.RequireIdentity(r.Context())
@@ -50,7 +52,7 @@
 	}
 }
 
-func pathID(r *http.Request) job.ID {
+func jobIDFromPath(r *http.Request) job.ID {
 	return job.ID{
 		Organisation: r.PathValue("organisation"),
 		Service:      r.PathValue("service"),
@@ -67,11 +69,11 @@
 }
 
 func (in *Intake) serveStatus(r *http.Request, who auth.Identity) (any, error) {
-	return in.Find(r.Context(), who, pathID(r))
+	return in.Find(r.Context(), who, jobIDFromPath(r))
 }
 
 func (in *Intake) serveCancel(r *http.Request, who auth.Identity) (any, error) {
-	return in.Cancel(r.Context(), who, pathID(r))
+	return in.Cancel(r.Context(), who, jobIDFromPath(r))
 }
 
 func (in *Intake) serveList(r *http.Request, who auth.Identity) (any, error) {
@@ -86,8 +88,8 @@
 	return api.JobList{Jobs: jobs}, nil
 }
 
-// List returns the jobs of all failure domains that the sender may see, in the
-// given state or, when it is empty, in any, ordered by ID.
+// List returns the jobs of all failure domains that the caller may see, ordered by
+// ID. If state is not empty, it returns only the jobs in that state.
 func (in *Intake) List(ctx context.Context, who auth.Identity, state job.State) ([]job.Record, error) {
 	snap, _ := in.o.Config.Current()
 	names := sortedKeys(snap.FailureDomains)
@@ -101,7 +103,7 @@
 		})
 	}
 	if err := g.Wait(); err != nil {
-		return nil, explainStore(err)
+		return nil, storeError(err)
 	}
 	found := make(map[string]job.Record)
 	for _, records := range pages {
@@ -120,31 +122,32 @@
 }
 
 func (in *Intake) serveExplain(r *http.Request, who auth.Identity) (any, error) {
-	rec, domain, err := in.locate(r.Context(), who, pathID(r))
+	rec, domain, err := in.locate(r.Context(), who, jobIDFromPath(r))
 	if err != nil {
-		return nil, explainStore(err)
+		return nil, storeError(err)
 	}
 	why := rec.Reason
 	if rec.State == job.Queued {
-		why = in.why(r.Context(), domain, rec)
+		why = in.whyQueued(r.Context(), domain, rec)
 	}
 	return api.Explanation{Record: rec, FailureDomain: domain, Why: why, History: rec.History}, nil
 }
 
-// why asks the scheduler of the job's failure domain why it waits.
-func (in *Intake) why(ctx context.Context, domain string, rec job.Record) string {
+// whyQueued returns why a queued job waits, as the scheduler of its failure domain
+// reports it or, without an answer, from the job's record.
+func (in *Intake) whyQueued(ctx context.Context, domain string, rec job.Record) string {
 	snap, _ := in.o.Config.Current()
 	if snap.FailureDomains[domain].Out {
-		return "failure domain " + domain + " is out of service; the job is moved or waits until it is back"
+		return "failure domain " + domain + " is out of service; the job is moved to another one or waits until this one is back in service"
 	}
-	if reason, ok := in.o.Hold(rec.Spec.ID); ok && domain == in.o.FailureDomain {
+	if reason, ok := in.o.HoldReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
 		return reason
 	}
-	if reason, ok := in.askPeers(ctx, domain, rec.Spec.ID); ok {
+	if reason, ok := in.askHoldReason(ctx, domain, rec.Spec.ID); ok {
 		return reason
 	}
 	if rec.Reason != "" {
 		return rec.Reason
 	}
-	return "it waits for the scheduler of failure domain " + domain
+	return "the job waits for the scheduler of failure domain " + domain
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,5 +1,9 @@
-// Package intake takes jobs from callers, keeps them in the ledger, and tells
-// callers what became of them. Any entry host takes any job.
+// Package intake accepts jobs from callers, stores them in the ledger, and reports
+// their state. Any entry host accepts any job; callers use the HTTP calls that
+// Register adds. On the host that holds a failure domain's term, Run prunes ended
+// jobs and moves queued ones between failure domains. The jobs are in the
+// platform's store; an Intake itself keeps only cached loads and the times at
+// which failure domains stopped starting jobs.
 package intake
 
 import (
@@ -20,12 +24,12 @@
 )
 
 const (
-	// DefaultRetention is how long ended jobs are kept.
+	// DefaultRetention is how long the records of ended jobs are kept.
 	DefaultRetention = 24 * time.Hour
-	// writeTimeout bounds a caller's wait for the ledger.
-	writeTimeout = 8 * time.Second
-	// keepEvery is the time between two rounds of pruning and moving.
-	keepEvery = 2 * time.Second
+	// ledgerTimeout limits how long a caller waits for the ledger.
+	ledgerTimeout = 8 * time.Second
+	// maintenanceInterval is the time between two calls of Maintain.
+	maintenanceInterval = 2 * time.Second
 )
 
 // Options configures an Intake.
@@ -35,26 +39,26 @@
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
-	// Hold tells why a queued job of this failure domain waits; nil: unknown.
-	Hold func(job.ID) (reason string, ok bool)
-	// Serving tells whether a failure domain has a scheduler; nil: all have.
-	Serving func(failureDomain string) bool
-	// Takes tells which queued jobs of other failure domains this one could
-	// start at once; nil: none.
-	Takes     func(ctx context.Context, records []job.Record) []job.ID
-	Peers     peer.Caller   // nil: this entry host is alone
-	Retention time.Duration // 0: DefaultRetention
-	Now       func() time.Time
-	Logger    *log.Logger
-	Metrics   *metrics.Set
+	// HoldReason returns why a queued job of this failure domain waits; nil: unknown.
+	HoldReason func(job.ID) (reason string, ok bool)
+	// HasScheduler reports whether a failure domain has a scheduler; nil: all have.
+	HasScheduler func(failureDomain string) bool
+	// SelectStartable returns which queued jobs of other failure domains this one
+	// could start at once; nil: none.
+	SelectStartable func(ctx context.Context, records []job.Record) []job.ID
+	Peers           peer.Caller   // nil: this entry host is alone
+	Retention       time.Duration // 0: DefaultRetention
+	Now             func() time.Time
+	Logger          *log.Logger
+	Metrics         *metrics.Set
 }
 
 func (o Options) withDefaults() Options {
-	if o.Hold == nil {
-		o.Hold = func(job.ID) (string, bool) { return "", false }
+	if o.HoldReason == nil {
+		o.HoldReason = func(job.ID) (string, bool) { return "", false }
 	}
-	if o.Serving == nil {
-		o.Serving = func(string) bool { return true }
+	if o.HasScheduler == nil {
+		o.HasScheduler = func(string) bool { return true }
 	}
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
@@ -65,38 +69,35 @@
 	return o
 }
 
-// Intake serves callers' job calls. It is safe for concurrent use.
+// Intake serves the calls about jobs. It is safe for concurrent use.
 type Intake struct {
 	o     Options
-	loads *loads
+	loads *loadCache
 
 	submitted *metrics.Counter
 	refused   *metrics.Counter
 
-	pulled time.Time // last look at other failure domains' queues; owned by Keep
+	lastPull time.Time // last read of other failure domains' queues; used by Maintain only
 
-	mu    sync.Mutex
-	since map[string]time.Time // failure domain to the moment since which it starts nothing
+	mu               sync.Mutex
+	notStartingSince map[string]time.Time // by failure domain: time since which it is known to start nothing
 }
 
-// New returns an intake; Run prunes and moves jobs.
+// New returns an intake. It does not prune or move jobs before Run is called.
 func New(o Options) *Intake {
 	o = o.withDefaults()
 	return &Intake{
-		o:         o,
-		loads:     newLoads(o),
-		submitted: o.Metrics.GetOrCreateCounter("cyclamentray_intake_submitted_total"),
-		refused:   o.Metrics.GetOrCreateCounter("cyclamentray_intake_refused_total"),
-		since:     make(map[string]time.Time),
+		o:                o,
+		loads:            newLoadCache(o),
+		submitted:        o.Metrics.GetOrCreateCounter("cyclamentray_intake_submitted_total"),
+		refused:          o.Metrics.GetOrCreateCounter("cyclamentray_intake_refused_total"),
+		notStartingSince: make(map[string]time.Time),
 	}
 }
 
-// Run prunes ended jobs of this failure domain, moves queued ones away from
-// failure domains that start nothing, and takes over those that could start
-// here at once, until ctx ends. Only the host that holds the failure domain's
-// term does so.
+// Run calls Maintain periodically until ctx ends.
 func (in *Intake) Run(ctx context.Context) error {
-	ticker := time.NewTicker(keepEvery)
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -104,17 +105,19 @@
 			return nil
 		case <-ticker.C:
 		}
-		in.Keep(ctx)
+		in.Maintain(ctx)
 	}
 }
 
-// Keep does one round of pruning and moving, if this host holds the term. Only
-// Run, or a test without it, calls it.
-func (in *Intake) Keep(ctx context.Context) {
+// Maintain prunes ended jobs of this failure domain, moves queued jobs away from
+// failure domains that start nothing, and moves those here that could start at
+// once. It does nothing unless this host holds the failure domain's term. It is
+// not safe for concurrent use: only Run calls it, or a test that does not use Run.
+func (in *Intake) Maintain(ctx context.Context) {
 	if _, _, held := in.o.Election.Term(); !held {
 		return
 	}
 	in.prune(ctx)
-	in.move(ctx)
+	in.moveQueuedJobs(ctx)
 	in.pull(ctx)
 }
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -29,7 +29,8 @@
 
 var org = auth.Identity{Organisation: "org"}
 
-// site is a store, a configuration and a host list, shared by entry hosts.
+// site is the store, the configuration, the host list and the clock that the entry
+// hosts of a test share.
 type site struct {
 	kv    *kv.Server
 	store kvstore.Store
@@ -77,7 +78,7 @@
 	return s.now
 }
 
-func (s *site) pass(d time.Duration) {
+func (s *site) advanceClock(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = s.now.Add(d)
@@ -91,17 +92,18 @@
 
 // entryHost returns an entry host's intake and its ledgers.
 func (s *site) entryHost(domain string) (*intake.Intake, *ledger.Ledgers) {
-	ledgers := ledger.New(ledger.Options{Store: s.store, Gap: 20 * time.Millisecond})
+	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	return intake.New(intake.Options{FailureDomain: domain, Ledgers: ledgers, Config: s, Membership: s,
 		Election: s, Now: s.clock}), ledgers
 }
 
-// viewFrom is the site's host list as one entry host sees it.
+// viewFrom is the site's host list with one entry host as Self.
 type viewFrom struct{ view membership.View }
 
 func (v *viewFrom) View() *membership.View { return &v.view }
 
-// entryHosts returns intakes of one failure domain that reach each other.
+// entryHosts returns the intakes of n entry hosts of one failure domain that call
+// each other, and their peer servers.
 func (s *site) entryHosts(t testing.TB, n int) ([]*intake.Intake, []*peer.Server) {
 	var hosts []kvstore.Host
 	var servers []*peer.Server
@@ -189,11 +191,11 @@
 	}
 	s.edit(func(c *config.Snapshot) { c.Retired = map[string]uint64{"svc": 8} })
 	rec, err := in.Submit(context.Background(), org, spec("early"))
-	must.NoError(t, err, must.Sprint("a repeated submission finds the first one also after a retirement"))
+	must.NoError(t, err, must.Sprint("a repeated submission returns the first job after its service is retired"))
 	must.EqOp(t, "early", rec.Spec.ID.Name)
 }
 
-func TestOrganisationsSeeOnlyTheirOwn(t *testing.T) {
+func TestOrganisationsSeeOnlyTheirOwnJobs(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	in, _ := s.entryHost("fd1")
@@ -223,13 +225,15 @@
 	must.StrContains(t, answer, "cancelled by org")
 }
 
+// Bursts of 2,000 submissions and 2,000 cancellations over 7 entry hosts must take
+// at most 60 writes to the store each.
 func TestBurstStaysWithinTheWriteBudget(t *testing.T) {
 	t.Parallel()
 	const burst, budget, hosts = 2_000, 60, 7
 	s := newSite(t)
 	_, ledgers := s.entryHost("fd1")
 	ins, _ := s.entryHosts(t, hosts)
-	each := func(act func(*intake.Intake, job.Spec) error) int {
+	writesFor := func(act func(*intake.Intake, job.Spec) error) int {
 		before := s.kv.Calls()["put"]
 		var wg sync.WaitGroup
 		for i := range burst {
@@ -238,11 +242,11 @@
 		wg.Wait()
 		return s.kv.Calls()["put"] - before
 	}
-	submits := each(func(in *intake.Intake, j job.Spec) error {
+	submits := writesFor(func(in *intake.Intake, j job.Spec) error {
 		_, err := in.Submit(context.Background(), org, j)
 		return err
 	})
-	cancels := each(func(in *intake.Intake, j job.Spec) error {
+	cancels := writesFor(func(in *intake.Intake, j job.Spec) error {
 		_, err := in.Cancel(context.Background(), org, j.ID)
 		return err
 	})
@@ -261,7 +265,8 @@
 	must.EqOp(t, burst, sum)
 }
 
-func TestSubmitWithoutTheHostThatWrites(t *testing.T) {
+// An entry host must write submissions itself while the writer host does not answer.
+func TestSubmitFallsBackToLocalWrite(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	ins, servers := s.entryHosts(t, 2)
@@ -281,7 +286,7 @@
 	must.Len(t, 4, jobs)
 }
 
-func TestQueuedJobsLeaveAFailureDomainThatIsOut(t *testing.T) {
+func TestQueuedJobsLeaveFailureDomainOutOfService(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.edit(func(c *config.Snapshot) { c.FailureDomains["fd2"] = config.FailureDomain{Name: "fd2", Out: true} })
@@ -305,20 +310,20 @@
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1", Out: true}, "fd2": {Name: "fd2"}}
 	})
 	other, _ := s.entryHost("fd2")
-	other.Keep(ctx)
+	other.Maintain(ctx)
 	_, found, err := ledgers.Jobs("fd2").Read(ctx, spec("waits").ID.String())
 	must.NoError(t, err)
 	must.False(t, found, must.Sprint("start permits have not lapsed yet"))
-	s.pass(10 * time.Second)
-	other.Keep(ctx)
-	other.Keep(ctx)
+	s.advanceClock(10 * time.Second)
+	other.Maintain(ctx)
+	other.Maintain(ctx)
 
 	moved, err := ledgers.Jobs("fd2").ReadAll(ctx)
 	must.NoError(t, err)
-	must.Len(t, 1, sortedNames(moved))
+	must.Len(t, 1, recordNames(moved))
 	must.EqOp(t, job.Queued, moved[spec("waits").ID.String()].State)
 	rec, err := in.Submit(ctx, org, spec("waits"))
-	must.NoError(t, err, must.Sprint("a repeated submission follows the job"))
+	must.NoError(t, err, must.Sprint("a repeated submission returns the moved job"))
 	must.EqOp(t, 1, rec.Moves)
 	left, err := ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
@@ -326,20 +331,20 @@
 	must.EqOp(t, job.Placed, left[placed].State)
 	must.EqOp(t, job.Queued, left[spec("pinned").ID.String()].State)
 
-	// Back again: the tombstone of the first move gives way.
+	// The job moves back to fd1, where the moved record of its first move is replaced.
 	s.edit(func(c *config.Snapshot) {
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2", Out: true}}
 	})
-	in.Keep(ctx)
-	s.pass(10 * time.Second)
-	in.Keep(ctx)
+	in.Maintain(ctx)
+	s.advanceClock(10 * time.Second)
+	in.Maintain(ctx)
 	rec, err = in.Find(ctx, org, spec("waits").ID)
 	must.NoError(t, err)
 	must.EqOp(t, 2, rec.Moves)
 	must.EqOp(t, job.Queued, rec.State)
 }
 
-func sortedNames(records map[string]job.Record) []string {
+func recordNames(records map[string]job.Record) []string {
 	var out []string
 	for name := range records {
 		out = append(out, name)
@@ -362,14 +367,14 @@
 	must.NoError(t, err)
 	_, err = ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
-	in.Keep(ctx)
+	in.Maintain(ctx)
 	_, err = in.Find(ctx, org, spec("ends").ID)
-	must.NoError(t, err, must.Sprint("kept for a while"))
-	s.pass(intake.DefaultRetention + time.Second)
-	in.Keep(ctx)
+	must.NoError(t, err, must.Sprint("kept until the retention has passed"))
+	s.advanceClock(intake.DefaultRetention + time.Second)
+	in.Maintain(ctx)
 	records, err := ledgers.Jobs("fd1").ReadAll(ctx)
 	must.NoError(t, err)
-	must.Eq(t, []string{spec("waits").ID.String()}, sortedNames(records))
+	must.Eq(t, []string{spec("waits").ID.String()}, recordNames(records))
 	_, err = in.Find(ctx, org, spec("ends").ID)
 	must.EqOp(t, apierr.NotFound, apierr.KindOf(err))
 }
--- a/intake/ledger/shard.go
+++ b/intake/ledger/shard.go
@@ -15,24 +15,27 @@
 )
 
 const (
-	callTimeout = 4 * time.Second // of one call to the store
-	maxAttempts = 12              // of one group of updates
-	readsPerGap = 4               // reads of one shard by one host, per gap between writes
+	callTimeout           = 4 * time.Second // per call to the store
+	maxWriteAttempts      = 12              // per group of updates
+	readsPerWriteInterval = 4               // maximum reads of one shard by one host per WriteInterval
 )
 
+// result is the value or error that Table.Update returns.
 type result[V any] struct {
 	value V
 	err   error
 }
 
+// update is a call of Table.Update that waits for its write.
 type update[V any] struct {
-	key    string
-	change Change[V]
-	done   chan result[V] // buffered: the committer never waits for a caller
-	gone   func() bool    // the caller no longer waits
+	key       string
+	change    Change[V]
+	done      chan result[V] // buffered, so that commitLoop never blocks on a caller
+	cancelled func() bool    // reports whether the caller no longer waits
 }
 
-// shard is one value of the store. At most one write of it is under way here.
+// shard is one value of the store, with its cached page. At most one of this
+// host's writes of it is in progress at a time.
 type shard[V any] struct {
 	t   *Table[V]
 	key string
@@ -41,31 +44,35 @@
 	page       page[V]
 	version    uint64
 	confirmed  time.Time
-	known      bool
+	loaded     bool
 	pending    []*update[V]
 	committing bool
-	reading    bool         // a read is under way
-	nextRead   *readCall[V] // begins once it ends
+	reading    bool         // readLoop is running
+	nextRead   *readCall[V] // the next call of readLoop; nil: none is requested
 }
 
+// readCall is a read of the shard that one or more callers wait for.
 type readCall[V any] struct {
 	done chan struct{}
 	page page[V]
 	err  error
 }
 
-func (s *shard[V]) seen() (page[V], time.Time, bool) {
+// snapshot returns the cached page and the time at which it was last confirmed;
+// the last result is false if the shard was never read.
+func (s *shard[V]) snapshot() (page[V], time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.page, s.confirmed, s.known
+	return s.page, s.confirmed, s.loaded
 }
 
-// adopt takes over an entry read from the store, unless a newer one is known.
-func (s *shard[V]) adopt(e kvstore.Entry, asked time.Time) (page[V], error) {
+// applyRead updates the cached page from an entry read from the store, unless the
+// cached one is newer. asked is the time before the read.
+func (s *shard[V]) applyRead(e kvstore.Entry, asked time.Time) (page[V], error) {
 	s.mu.Lock()
-	if s.known && e.Version == s.version {
+	if s.loaded && e.Version == s.version {
 		defer s.mu.Unlock()
-		s.confirmed = later(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, asked)
 		return s.page, nil
 	}
 	s.mu.Unlock()
@@ -77,22 +84,23 @@
 	return p, nil
 }
 
+// install caches a page unless the cached one is newer.
 func (s *shard[V]) install(p page[V], version uint64, asked time.Time) {
 	s.mu.Lock()
-	newer := !s.known || version > s.version
+	newer := !s.loaded || version > s.version
 	if newer {
-		s.page, s.version, s.known = p, version, true
+		s.page, s.version, s.loaded = p, version, true
 	}
 	if version >= s.version {
-		s.confirmed = later(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, asked)
 	}
 	s.mu.Unlock()
 	if newer {
-		s.t.announce()
+		s.t.notifyChanged()
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -112,11 +120,12 @@
 	if err != nil {
 		return page[V]{}, err
 	}
-	return s.adopt(e, asked)
+	return s.applyRead(e, asked)
 }
 
-// read returns the shard as it is at some moment after the call. It joins a
-// read that has not begun yet, never one that began earlier.
+// read returns the shard's page at some time after the call of read. Callers share
+// a read that has not begun yet, but never one that has: it may miss writes that
+// ended before the call.
 func (s *shard[V]) read(ctx context.Context) (page[V], error) {
 	s.mu.Lock()
 	call := s.nextRead
@@ -137,7 +146,7 @@
 	}
 }
 
-// readLoop reads the shard, one call at a time, while somebody waits.
+// readLoop makes the requested reads, one at a time, until none is requested.
 func (s *shard[V]) readLoop() {
 	for {
 		s.mu.Lock()
@@ -151,15 +160,15 @@
 		s.mu.Unlock()
 		call.page, call.err = s.fetch(context.Background())
 		close(call.done)
-		time.Sleep(s.t.o.Gap / readsPerGap)
+		time.Sleep(s.t.o.WriteInterval / readsPerWriteInterval)
 	}
 }
 
-// follow watches the shard until ctx ends.
-func (s *shard[V]) follow(ctx context.Context) {
+// watchUntilDone keeps the cached page current with watches until ctx ends.
+func (s *shard[V]) watchUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		after, known := s.version, s.known
+		after, known := s.version, s.loaded
 		s.mu.Unlock()
 		var err error
 		if !known {
@@ -168,11 +177,12 @@
 			err = s.watch(ctx, after)
 		}
 		if err != nil {
-			pause.For(ctx, retryDelay)
+			pause.For(ctx, watchRetryDelay)
 		}
 	}
 }
 
+// watch waits for a newer version than after, and caches it.
 func (s *shard[V]) watch(ctx context.Context, after uint64) error {
 	s.t.reads.Inc()
 	asked := s.t.o.Now()
@@ -180,13 +190,14 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.adopt(e, asked)
+	_, err = s.applyRead(e, asked)
 	return err
 }
 
+// update queues a change and waits for its result.
 func (s *shard[V]) update(ctx context.Context, key string, change Change[V]) (V, error) {
 	u := &update[V]{key: key, change: change, done: make(chan result[V], 1)}
-	u.gone = func() bool { return ctx.Err() != nil }
+	u.cancelled = func() bool { return ctx.Err() != nil }
 	s.mu.Lock()
 	s.pending = append(s.pending, u)
 	if !s.committing {
@@ -203,7 +214,7 @@
 	}
 }
 
-// commitLoop writes groups of updates until none is left.
+// commitLoop writes groups of updates until none is pending.
 func (s *shard[V]) commitLoop() {
 	for {
 		s.mu.Lock()
@@ -216,37 +227,38 @@
 		}
 		s.mu.Unlock()
 		s.commit(group)
-		time.Sleep(s.t.o.Gap)
+		time.Sleep(s.t.o.WriteInterval)
 	}
 }
 
-// attempt is a write of a group whose effect is not known.
-type attempt[V any] struct {
+// writeAttempt is a write of a group that may or may not have taken effect.
+type writeAttempt[V any] struct {
 	nonce   string
 	results []result[V]
 }
 
-// commit writes one group. An answer that was lost is settled by reading back.
+// commit writes one group, and retries up to maxWriteAttempts times. After a write
+// whose reply was lost, it reads the page back and looks for the nonce of the write.
 func (s *shard[V]) commit(group []*update[V]) {
-	var tried []attempt[V]
+	var tried []writeAttempt[V]
 	var err error
-	for n := range maxAttempts {
+	for n := range maxWriteAttempts {
 		if n > 0 {
-			time.Sleep(mathrand.N(s.t.o.Gap * time.Duration(min(n, 4)) / 2))
+			time.Sleep(mathrand.N(s.t.o.WriteInterval * time.Duration(min(n, 4)) / 2))
 		}
 		var base page[V]
-		base, err = s.base(n > 0)
+		base, err = s.basePage(n > 0)
 		if err != nil {
 			continue
 		}
-		if results, landed := landed(tried, base); landed {
-			deliver(group, results)
+		if results, applied := findApplied(tried, base); applied {
+			deliverResults(group, results)
 			return
 		}
-		a := attempt[V]{nonce: rand.Text()}
+		a := writeAttempt[V]{nonce: rand.Text()}
 		a.results, err = s.write(group, a.nonce)
 		if err == nil {
-			deliver(group, a.results)
+			deliverResults(group, a.results)
 			return
 		}
 		if errors.Is(err, kvstore.ErrAmbiguous) {
@@ -262,35 +274,37 @@
 	}
 }
 
-// landed finds the earlier attempt that the page shows to have taken effect.
-func landed[V any](tried []attempt[V], p page[V]) ([]result[V], bool) {
+// findApplied returns the results of the earlier attempt that took effect,
+// according to the nonces in the page.
+func findApplied[V any](tried []writeAttempt[V], p page[V]) ([]result[V], bool) {
 	for _, a := range tried {
-		if p.wrote(a.nonce) {
+		if p.hasNonce(a.nonce) {
 			return a.results, true
 		}
 	}
 	return nil, false
 }
 
-// base returns the page to write upon, read anew after a failed attempt.
-func (s *shard[V]) base(fresh bool) (page[V], error) {
-	p, _, known := s.seen()
+// basePage returns the page that a write is based on: the cached one or, if fresh
+// is set or none is cached, one read from the store.
+func (s *shard[V]) basePage(fresh bool) (page[V], error) {
+	p, _, known := s.snapshot()
 	if known && !fresh {
 		return p, nil
 	}
 	return s.fetch(context.Background())
 }
 
-// write applies the group to the page and swaps it in. A group that changes
-// nothing is confirmed by a read.
+// write applies the group to the page and writes it with a compare-and-swap. If
+// the group changes nothing, it only reads the page, to confirm that it is current.
 func (s *shard[V]) write(group []*update[V], nonce string) ([]result[V], error) {
 	s.mu.Lock()
 	base, version := s.page, s.version
 	s.mu.Unlock()
-	next := base.with(nonce)
+	next := base.copyWithNonce(nonce)
 	results, changed := apply(group, next.Entries)
 	if !changed {
-		return s.confirm(group)
+		return s.confirmUnchanged(group)
 	}
 	value, err := encode(next)
 	if err != nil {
@@ -302,7 +316,7 @@
 	s.t.writes.Inc()
 	e, err := s.t.o.Store.CompareAndSwap(ctx, s.key, value, version)
 	if errors.Is(err, kvstore.ErrConflict) {
-		s.t.clashes.Inc()
+		s.t.conflicts.Inc()
 	}
 	if err != nil {
 		return results, err
@@ -311,36 +325,39 @@
 	return results, nil
 }
 
-// confirm answers a group without effect, once the page is known to be current.
-func (s *shard[V]) confirm(group []*update[V]) ([]result[V], error) {
+// confirmUnchanged returns the results of a group that changes nothing, computed
+// from a page read from the store. It returns kvstore.ErrConflict if the group
+// changes that page.
+func (s *shard[V]) confirmUnchanged(group []*update[V]) ([]result[V], error) {
 	fresh, err := s.fetch(context.Background())
 	if err != nil {
 		return nil, err
 	}
-	results, changed := apply(group, fresh.with("").Entries)
+	results, changed := apply(group, fresh.copyWithNonce("").Entries)
 	if changed {
-		return nil, errors.Mark(errors.New("the shard changed meanwhile"), kvstore.ErrConflict)
+		return nil, errors.Mark(errors.New("the shard changed during the update"), kvstore.ErrConflict)
 	}
 	return results, nil
 }
 
-func deliver[V any](group []*update[V], results []result[V]) {
+// deliverResults sends each update of a group its result.
+func deliverResults[V any](group []*update[V], results []result[V]) {
 	for i, u := range group {
 		u.done <- results[i]
 	}
 }
 
-// apply runs a group's changes on entries, which it alters. A caller that has
-// given up is left out.
+// apply applies a group's changes to entries in place. It skips updates whose
+// caller no longer waits.
 func apply[V any](group []*update[V], entries map[string]V) (results []result[V], changed bool) {
 	results = make([]result[V], len(group))
 	for i, u := range group {
-		if u.gone() {
+		if u.cancelled() {
 			continue
 		}
 		old, found := entries[u.key]
 		next, keep, err := u.change(old, found)
-		if err == nil && keep && !found && len(entries) >= MaxEntries {
+		if err == nil && keep && !found && len(entries) >= MaxShardEntries {
 			err = errFull
 		}
 		switch {
--- a/intake/peers.go
+++ b/intake/peers.go
@@ -6,15 +6,15 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// holdReply mirrors the answer of the gang slice's Hold method.
+// holdReply has the fields of the reply to the Hold method of package gang.
 type holdReply struct {
 	Reason string
 	Known  bool
 }
 
-// askPeers asks the entry hosts of a failure domain why a job waits; only the
-// one that schedules knows.
-func (in *Intake) askPeers(ctx context.Context, domain string, id job.ID) (string, bool) {
+// askHoldReason asks the entry hosts of a failure domain why a job waits. Only the
+// host that runs the scheduler can answer.
+func (in *Intake) askHoldReason(ctx context.Context, domain string, id job.ID) (string, bool) {
 	if in.o.Peers == nil {
 		return "", false
 	}
@@ -22,7 +22,7 @@
 		if h.FailureDomain != domain {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+		ctx, cancel := context.WithTimeout(ctx, holdCallTimeout)
 		var reply holdReply
 		err := in.o.Peers.Call(ctx, h.PeerAddress, methodHold, id, &reply)
 		cancel()
--- a/intake/pull.go
+++ b/intake/pull.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// pullEvery is the time between two looks at other failure domains' queues.
-	pullEvery = 10 * time.Second
-	// heldFor is how long a job has waited where it is before another failure
-	// domain may take it.
-	heldFor = 15 * time.Second
-	// movedRest is the least time between two moves of one job.
-	movedRest = 10 * time.Minute
+	// pullInterval is the minimum time between two reads of other failure domains'
+	// queues.
+	pullInterval = 10 * time.Second
+	// minQueuedTime is how long a job must be queued in its failure domain before
+	// another one may pull it.
+	minQueuedTime = 15 * time.Second
+	// minTimeBetweenMoves is the minimum time between two moves of one job.
+	minTimeBetweenMoves = 10 * time.Minute
 )
 
-// pull takes over queued jobs of failure domains in service that this one could
-// start at once, as after its return to service. It looks only while nothing
-// waits here, so that a busy failure domain costs no reads.
+// pull moves queued jobs here from other failure domains in service if this one
+// could start them at once, for example after its return to service. It does so
+// only while no job is queued here, so that a busy failure domain causes no reads.
 func (in *Intake) pull(ctx context.Context) {
 	now := in.o.Now()
 	snap, _ := in.o.Config.Current()
 	here := snap.FailureDomains[in.o.FailureDomain]
-	if in.o.Takes == nil || here.Out || now.Sub(in.pulled) < pullEvery || in.waiting() {
+	if in.o.SelectStartable == nil || here.Out || now.Sub(in.lastPull) < pullInterval || in.hasQueuedJobs() {
 		return
 	}
-	in.pulled = now
+	in.lastPull = now
 	for _, from := range sortedKeys(snap.FailureDomains) {
-		if from == here.Name || snap.FailureDomains[from].Out || !in.o.Serving(from) {
+		if from == here.Name || snap.FailureDomains[from].Out || !in.o.HasScheduler(from) {
 			continue
 		}
 		if err := in.pullFrom(ctx, from); err != nil {
-			in.o.Logger.Warn("queued jobs were not taken over; it is tried again", "failureDomain", from, "err", err.Error())
+			in.o.Logger.Warn("pulling queued jobs failed; retrying after the pull interval", "failureDomain", from, "err", err.Error())
 		}
 	}
 }
 
-// waiting reports whether a job is queued in this failure domain.
-func (in *Intake) waiting() bool {
+// hasQueuedJobs reports whether a job is or may be queued in this failure domain:
+// it returns true while the ledger is not read completely.
+func (in *Intake) hasQueuedJobs() bool {
 	records, _, complete := in.o.Ledgers.Jobs(in.o.FailureDomain).Snapshot()
 	for _, rec := range records {
 		if rec.State == job.Queued {
@@ -51,6 +53,7 @@
 	return !complete
 }
 
+// pullFrom moves the jobs here that this failure domain can start at once.
 func (in *Intake) pullFrom(ctx context.Context, from string) error {
 	records, err := in.o.Ledgers.Jobs(from).ReadAll(ctx)
 	if err != nil {
@@ -58,7 +61,7 @@
 	}
 	var offered []job.Record
 	for _, key := range sortedKeys(records) {
-		if rec := records[key]; movable(rec) && in.rested(rec) {
+		if rec := records[key]; movable(rec) && in.queuedLongEnough(rec) {
 			offered = append(offered, rec)
 		}
 	}
@@ -66,23 +69,25 @@
 		return nil
 	}
 	var g errgroup.Group
-	for _, id := range in.o.Takes(ctx, offered) {
+	for _, id := range in.o.SelectStartable(ctx, offered) {
 		g.Go(func() error {
-			return in.moveOne(ctx, id.String(), from, in.o.FailureDomain, "failure domain "+in.o.FailureDomain+" has room for it")
+			return in.moveJob(ctx, id.String(), from, in.o.FailureDomain, "failure domain "+in.o.FailureDomain+" has room for it")
 		})
 	}
 	return g.Wait()
 }
 
-// rested reports whether a queued job has waited long enough where it is.
-func (in *Intake) rested(rec job.Record) bool {
+// queuedLongEnough reports whether a queued job may be pulled: it has been queued
+// in its failure domain for minQueuedTime, or for minTimeBetweenMoves if it was
+// moved before.
+func (in *Intake) queuedLongEnough(rec job.Record) bool {
 	since := rec.Submitted
 	if n := len(rec.History); n > 0 {
 		since = rec.History[n-1].At
 	}
-	rest := heldFor
+	required := minQueuedTime
 	if rec.Moves > 0 {
-		rest = movedRest
+		required = minTimeBetweenMoves
 	}
-	return in.o.Now().Sub(since) >= rest
+	return in.o.Now().Sub(since) >= required
 }
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -15,15 +15,16 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// taker returns the intake of a host whose scheduler has room for the named jobs.
-func (s *site) taker(t *testing.T, domain string, names ...string) *intake.Intake {
-	ledgers := ledger.New(ledger.Options{Store: s.store, Gap: 20 * time.Millisecond})
+// pullingHost returns the intake of a host whose scheduler can start the named jobs
+// at once.
+func (s *site) pullingHost(t *testing.T, domain string, names ...string) *intake.Intake {
+	ledgers := ledger.New(ledger.Options{Store: s.store, WriteInterval: 20 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = ledgers.Run(ctx, domain) }()
 	return intake.New(intake.Options{
 		FailureDomain: domain, Ledgers: ledgers, Config: s, Membership: s, Election: s, Now: s.clock,
-		Takes: func(_ context.Context, records []job.Record) []job.ID {
+		SelectStartable: func(_ context.Context, records []job.Record) []job.ID {
 			var taken []job.ID
 			for _, rec := range records {
 				for _, name := range names {
@@ -37,10 +38,10 @@
 	})
 }
 
-// A failure domain with room takes queued jobs that have waited elsewhere: not
-// pinned ones, none twice within the rest, and none for a failure domain that
-// is out.
-func TestFailureDomainWithRoomTakesWaitingJobs(t *testing.T) {
+// A failure domain that can start queued jobs of others pulls them, except jobs
+// pinned to a failure domain and jobs moved within the last 10 minutes. A failure
+// domain that is out of service pulls none.
+func TestFailureDomainPullsJobsItCanStart(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	ctx := context.Background()
@@ -52,7 +53,7 @@
 		_, err := in.Submit(ctx, org, sp)
 		must.NoError(t, err)
 	}
-	held := func(domain string) []string {
+	queuedIn := func(domain string) []string {
 		records, err := ledgers.Jobs(domain).ReadAll(ctx)
 		must.NoError(t, err)
 		for key, rec := range records {
@@ -63,27 +64,27 @@
 		return slices.Sorted(maps.Keys(records))
 	}
 	all := []string{"org/svc/pinned", "org/svc/stays", "org/svc/waits"}
-	other := s.taker(t, "fd2", "waits", "pinned")
+	other := s.pullingHost(t, "fd2", "waits", "pinned")
 	for range 20 {
-		s.pass(time.Minute)
-		other.Keep(ctx)
-		must.Eq(t, all, held("fd1"), must.Sprint("fd2 is out"))
-		time.Sleep(10 * time.Millisecond) // its own ledger is read meanwhile
+		s.advanceClock(time.Minute)
+		other.Maintain(ctx)
+		must.Eq(t, all, queuedIn("fd1"), must.Sprint("fd2 is out of service"))
+		time.Sleep(10 * time.Millisecond) // lets Run read the ledger of fd2
 	}
 
 	s.edit(func(c *config.Snapshot) {
 		c.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1"}, "fd2": {Name: "fd2"}}
 	})
-	keepUntil := func(in *intake.Intake, step time.Duration, domain string, jobs []string) {
-		for deadline := time.Now().Add(20 * time.Second); !slices.Equal(held(domain), jobs); time.Sleep(10 * time.Millisecond) {
+	maintainUntil := func(in *intake.Intake, step time.Duration, domain string, jobs []string) {
+		for deadline := time.Now().Add(20 * time.Second); !slices.Equal(queuedIn(domain), jobs); time.Sleep(10 * time.Millisecond) {
 			must.True(t, time.Now().Before(deadline), must.Sprint("gave up waiting for ", jobs, " in ", domain))
-			s.pass(step)
-			in.Keep(ctx)
+			s.advanceClock(step)
+			in.Maintain(ctx)
 		}
 	}
-	keepUntil(other, time.Second, "fd2", all[2:])
+	maintainUntil(other, time.Second, "fd2", all[2:])
 	movedAt := s.clock()
-	must.Eq(t, all[:2], held("fd1"))
+	must.Eq(t, all[:2], queuedIn("fd1"))
 	rec, err := in.Find(ctx, org, spec("waits").ID)
 	must.NoError(t, err)
 	must.EqOp(t, "fd2", rec.FailureDomain)
@@ -92,6 +93,6 @@
 		_, err := in.Cancel(ctx, org, sp.ID)
 		must.NoError(t, err)
 	}
-	keepUntil(s.taker(t, "fd1", "waits"), 15*time.Second, "fd1", all[2:])
+	maintainUntil(s.pullingHost(t, "fd1", "waits"), 15*time.Second, "fd1", all[2:])
 	must.GreaterEq(t, 10*time.Minute, s.clock().Sub(movedAt))
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -14,25 +14,26 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// maxMoves bounds how far a moved job is followed.
-const maxMoves = 8
+// maxFollowedMoves limits the moves of a job that one call follows.
+const maxFollowedMoves = 8
 
-// Submit takes a job, or finds the one that its ID names already. A nil error
-// means that the job is in the ledger.
+// Submit stores a job, or returns the existing job of the same ID and spec. A nil
+// error means that the job is in the ledger.
 func (in *Intake) Submit(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
 	if rec, err, ok := in.forward(ctx, methodSubmit, SubmitCall{Who: who, Spec: spec, Trace: telemetry.TraceParent(ctx)}); ok {
 		return rec, err
 	}
-	return in.submitHere(ctx, who, spec)
+	return in.submitLocal(ctx, who, spec)
 }
 
-func (in *Intake) submitHere(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+// submitLocal handles a submission on this host, also for other entry hosts.
+func (in *Intake) submitLocal(ctx context.Context, who auth.Identity, spec job.Spec) (job.Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	rec, err := in.submit(ctx, who, spec)
 	if err != nil {
 		in.refused.Inc()
-		return job.Record{}, explainStore(err)
+		return job.Record{}, storeError(err)
 	}
 	in.submitted.Inc()
 	return rec, nil
@@ -42,13 +43,13 @@
 	snap, _ := in.o.Config.Current()
 	rec, err := checkSpec(snap, who, spec)
 	if err != nil {
-		return in.repeated(ctx, who, spec, err)
+		return in.findRepeated(ctx, who, spec, err)
 	}
-	domain, err := in.choose(ctx, snap, rec)
+	domain, err := in.chooseDomain(ctx, snap, rec)
 	if err != nil {
-		return in.repeated(ctx, who, spec, err)
+		return in.findRepeated(ctx, who, spec, err)
 	}
-	claim, err := in.claim(ctx, spec, domain)
+	claim, err := in.claimID(ctx, spec, domain)
 	if err != nil {
 		return job.Record{}, err
 	}
@@ -59,9 +60,10 @@
 	return in.create(ctx, claim.FailureDomain, rec)
 }
 
-// repeated answers a submission that would be refused now with the job that it
-// made earlier, if there is one.
-func (in *Intake) repeated(ctx context.Context, who auth.Identity, spec job.Spec, refusal error) (job.Record, error) {
+// findRepeated returns the job that an earlier submission of the same spec created,
+// if this one is refused because the service is retired since or the shape no
+// longer fits. Otherwise it returns the refusal.
+func (in *Intake) findRepeated(ctx context.Context, who auth.Identity, spec job.Spec, refusal error) (job.Record, error) {
 	if apierr.KindOf(refusal) != apierr.Retired && apierr.KindOf(refusal) != apierr.Infeasible {
 		return job.Record{}, refusal
 	}
@@ -72,8 +74,9 @@
 	return rec, nil
 }
 
-// claim binds the ID to a failure domain, once and for all hosts.
-func (in *Intake) claim(ctx context.Context, spec job.Spec, domain string) (ledger.Claim, error) {
+// claimID binds the ID to a failure domain in the index, unless it is bound
+// already. It returns the entry that all hosts use.
+func (in *Intake) claimID(ctx context.Context, spec job.Spec, domain string) (ledger.Claim, error) {
 	digest := ledger.Digest(spec)
 	now := in.o.Now()
 	return in.o.Ledgers.Index().Update(ctx, spec.ID.String(), func(old ledger.Claim, found bool) (ledger.Claim, bool, error) {
@@ -92,15 +95,15 @@
 		"job "+id.String()+" exists with another spec", "choose another name, or send the same spec again")
 }
 
-// create puts the record into a ledger unless the job is there, and follows it
-// when it has moved on.
+// create writes the record to a ledger unless the job exists there. If the job was
+// moved to another failure domain, create continues in the ledger of that one.
 func (in *Intake) create(ctx context.Context, domain string, rec job.Record) (job.Record, error) {
-	for range maxMoves {
+	for range maxFollowedMoves {
 		rec.FailureDomain = domain
 		got, err := in.o.Ledgers.Jobs(domain).Update(ctx, rec.Spec.ID.String(),
 			func(old job.Record, found bool) (job.Record, bool, error) {
-				back := old.State == job.Moved && old.Moves < rec.Moves
-				if !found || back {
+				returned := old.State == job.Moved && old.Moves < rec.Moves
+				if !found || returned {
 					return rec, true, nil
 				}
 				return old, true, nil
@@ -109,13 +112,14 @@
 			return got, err
 		}
 		domain = got.MovedTo
-		rec = arrived(got, in.o.Now())
+		rec = movedRecord(got, in.o.Now())
 	}
-	return job.Record{}, apierr.New(apierr.Unavailable, "the job moves between failure domains", "ask again shortly")
+	return job.Record{}, apierr.New(apierr.Unavailable, "the job moved between failure domains too often to be followed", "send the same call again")
 }
 
-// arrived returns a moved job's record as it begins in its new ledger.
-func arrived(left job.Record, now time.Time) job.Record {
+// movedRecord returns the first record of a moved job in its new ledger, from the
+// record left in the old one.
+func movedRecord(left job.Record, now time.Time) job.Record {
 	rec := left
 	rec.MovedTo, rec.Arrived = "", false
 	rec.Moves++
@@ -125,17 +129,18 @@
 	return rec
 }
 
-// Find returns a job as the store has it now. A job that the sender may not see
-// is not found.
+// Find returns the current record of a job from the store. For a job that the
+// caller may not see it returns the same error as for one that does not exist.
 func (in *Intake) Find(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	rec, _, err := in.locate(ctx, who, id)
-	return rec, explainStore(err)
+	return rec, storeError(err)
 }
 
 func errNoJob(id job.ID) error {
 	return apierr.New(apierr.NotFound, "no job "+id.String(), "check the name; ended jobs are kept for a limited time")
 }
 
+// locate returns a job's record and the failure domain whose ledger holds it.
 func (in *Intake) locate(ctx context.Context, who auth.Identity, id job.ID) (job.Record, string, error) {
 	if !who.MaySee(id.Organisation) {
 		return job.Record{}, "", errNoJob(id)
@@ -147,19 +152,20 @@
 	if !found {
 		return job.Record{}, "", errNoJob(id)
 	}
-	return in.follow(ctx, claim.FailureDomain, id)
+	return in.followMoves(ctx, claim.FailureDomain, id)
 }
 
-// follow reads a job's record from the ledger that has it now.
-func (in *Intake) follow(ctx context.Context, domain string, id job.ID) (job.Record, string, error) {
+// followMoves reads a job's record, starting in the ledger of domain and following
+// its moves.
+func (in *Intake) followMoves(ctx context.Context, domain string, id job.ID) (job.Record, string, error) {
 	var left job.Record
-	for range maxMoves {
+	for range maxFollowedMoves {
 		rec, found, err := in.o.Ledgers.Jobs(domain).Read(ctx, id.String())
 		switch {
 		case err != nil:
 			return job.Record{}, "", err
 		case !found && left.MovedTo != "":
-			return arrived(left, in.o.Now()), domain, nil // the move is half done
+			return movedRecord(left, in.o.Now()), domain, nil // the move is not completed yet
 		case !found:
 			return job.Record{}, "", errNoJob(id)
 		case rec.State != job.Moved:
@@ -167,24 +173,25 @@
 		}
 		left, domain = rec, rec.MovedTo
 	}
-	return job.Record{}, "", apierr.New(apierr.Unavailable, "the job moves between failure domains", "ask again shortly")
+	return job.Record{}, "", apierr.New(apierr.Unavailable, "the job moved between failure domains too often to be followed", "send the same call again")
 }
 
-// Cancel asks for a job's end. A queued job ends at once; a running one is
-// stopped by its scheduler. Repeating it is harmless.
+// Cancel requests the cancellation of a job. A queued job ends at once; a running
+// one is stopped by its scheduler. Cancel is idempotent.
 func (in *Intake) Cancel(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
 	if rec, err, ok := in.forward(ctx, methodCancel, CancelCall{Who: who, ID: id, Trace: telemetry.TraceParent(ctx)}); ok {
 		return rec, err
 	}
-	return in.cancelHere(ctx, who, id)
+	return in.cancelLocal(ctx, who, id)
 }
 
-func (in *Intake) cancelHere(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+// cancelLocal handles a cancellation on this host, also for other entry hosts.
+func (in *Intake) cancelLocal(ctx context.Context, who auth.Identity, id job.ID) (job.Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	_, domain, err := in.locate(ctx, who, id)
 	if err != nil {
-		return job.Record{}, explainStore(err)
+		return job.Record{}, storeError(err)
 	}
 	by := who.Organisation
 	if who.Operator {
@@ -204,11 +211,11 @@
 		}
 		return old, true, nil
 	})
-	return rec, explainStore(err)
+	return rec, storeError(err)
 }
 
-// explainStore turns the store's failures into errors with a remedy.
-func explainStore(err error) error {
+// storeError converts errors of the store to errors with a remedy.
+func storeError(err error) error {
 	var typed *apierr.Error
 	switch {
 	case err == nil:
@@ -220,6 +227,6 @@
 			"the platform did not confirm the write", "send the same call again; it takes effect once at most")
 	default:
 		return apierr.New(apierr.Unavailable,
-			"the platform's store does not answer, nothing was written", "send the same call again later")
+			"the platform's store does not answer; nothing was written", "send the same call again later")
 	}
 }
