--- a/entryhost/slices.go
+++ b/entryhost/slices.go
@@ -190,18 +190,18 @@
 		Metrics:       h.opts.Metrics,
 	})
 	s.intake = intake.New(intake.Options{
-		FailureDomain: failureDomain,
-		Ledgers:       s.ledgers,
-		Config:        s.config,
-		Membership:    s.membership,
-		Election:      s.election,
-		HoldReason:          s.scheduler.WaitReason,
-		SelectStartable:         s.scheduler.StartableJobs,
-		HasScheduler:       s.serving,
-		Peers:         s.peers,
-		Now:           h.opts.Now,
-		Logger:        h.opts.Logger.WithPrefix("intake"),
-		Metrics:       h.opts.Metrics,
+		FailureDomain:   failureDomain,
+		Ledgers:         s.ledgers,
+		Config:          s.config,
+		Membership:      s.membership,
+		Election:        s.election,
+		HoldReason:      s.scheduler.WaitReason,
+		SelectStartable: s.scheduler.StartableJobs,
+		HasScheduler:    s.serving,
+		Peers:           s.peers,
+		Now:             h.opts.Now,
+		Logger:          h.opts.Logger.WithPrefix("intake"),
+		Metrics:         h.opts.Metrics,
 	})
 }
 
