--- a/batch/scheduler/advice.go
+++ b/batch/scheduler/advice.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// questionSizeMin is the least number of runners that a question names, if
-	// there are as many: the users' target times include one question of that
+	// questionSizeMin is the minimum number of runners that a question names, if
+	// there are that many: the users' target times include one question of that
 	// size for each step.
 	questionSizeMin = 30
 
-	// questionSizeMax is the largest number of runners that the adviser accepts
+	// questionSizeMax is the maximum number of runners that the adviser accepts
 	// in a question.
 	questionSizeMax = 100
 
-	// permitMargin is how long a permit must still be valid when a unit is
-	// placed: the time to commit a record and send a start, also with a slow
-	// store.
-	permitMargin = 400 * time.Millisecond
+	// ticketMargin is how long a ticket must still be valid when a unit is
+	// placed: the time to commit a record and send a start, even when the store
+	// is slow.
+	ticketMargin = 400 * time.Millisecond
 
 	// questionRetryDelay is the time between a question without an answer and
 	// the next one.
@@ -39,39 +39,40 @@
 	born       []int64           // incarnations of the runners
 }
 
-// permit is the adviser's answer about one runner for one step.
-type permit struct {
+// advice is the adviser's answer about one runner for one step.
+type advice struct {
 	born   int64  // the incarnation that it applies to
 	ticket string // empty: the runner may not run the step
 	until  steady.Time
 }
 
-// permits holds the adviser's answers about the runners for one step.
-type permits struct {
-	byRunner        map[string]permit
+// stepAdvice holds the adviser's answers about the runners for one step, and the
+// state of the questions.
+type stepAdvice struct {
+	byRunner        map[string]advice
 	questionPending bool        // a question was sent and isn't answered
 	nextQuestionAt  steady.Time // earliest time of the next question
 }
 
-func (u *unit) permits() *permits {
+func (u *unit) stepAdvice() *stepAdvice {
 	key := stepKey{u.occurrence, u.step}
-	if u.job.permits == nil {
-		u.job.permits = make(map[stepKey]*permits)
+	if u.job.adviceByStep == nil {
+		u.job.adviceByStep = make(map[stepKey]*stepAdvice)
 	}
-	p := u.job.permits[key]
-	if p == nil {
-		p = &permits{byRunner: make(map[string]permit)}
-		u.job.permits[key] = p
+	s := u.job.adviceByStep[key]
+	if s == nil {
+		s = &stepAdvice{byRunner: make(map[string]advice)}
+		u.job.adviceByStep[key] = s
 	}
-	return p
+	return s
 }
 
 func (u *unit) needsAdvice() bool { return u.job.spec.Advice != nil }
 
-// forRunner returns the permit for the current incarnation of a runner.
-func (p *permits) forRunner(r *runner) (known permit, found bool) {
-	known, found = p.byRunner[r.ID]
-	return known, found && known.born == r.Born
+// forRunner returns the advice about the current incarnation of a runner.
+func (s *stepAdvice) forRunner(r *runner) (a advice, found bool) {
+	a, found = s.byRunner[r.ID]
+	return a, found && a.born == r.Born
 }
 
 // permitted reports whether the unit may start on r now and until margin has
@@ -80,8 +81,8 @@
 	if !u.needsAdvice() {
 		return true
 	}
-	known, found := u.permits().forRunner(r)
-	return found && known.ticket != "" && now.Add(margin).Before(known.until)
+	a, found := u.stepAdvice().forRunner(r)
+	return found && a.ticket != "" && now.Add(margin).Before(a.until)
 }
 
 // ticket returns the adviser's ticket that the unit's starts on r carry.
@@ -89,8 +90,8 @@
 	if !u.needsAdvice() {
 		return ""
 	}
-	known, _ := u.permits().forRunner(r)
-	return known.ticket
+	a, _ := u.stepAdvice().forRunner(r)
+	return a.ticket
 }
 
 // HasAdvisedJobs reports whether the steps of any active job need advice.
@@ -114,7 +115,7 @@
 	if best == nil {
 		return Question{}, false
 	}
-	best.permits().questionPending = true
+	best.stepAdvice().questionPending = true
 	q := Question{Job: best.job.spec.ID, Occurrence: best.occurrence, Step: best.step, Advice: *best.job.spec.Advice}
 	for _, s := range runners {
 		q.Runners = append(q.Runners, s.runner.ID)
@@ -147,18 +148,18 @@
 // returns nil when no runner with room needs a question, or when the unit could
 // not be placed even if all of them were approved.
 func (c *Core) runnersToAsk(u *unit, now steady.Time) []slot {
-	if u.awaitsPreemption(now) || u.permits().questionPending || now.Before(u.permits().nextQuestionAt) {
+	if u.awaitsPreemption(now) || u.stepAdvice().questionPending || now.Before(u.stepAdvice().nextQuestionAt) {
 		return nil
 	}
 	var out []slot
 	room := 0
 	for _, s := range c.openSlots(u, now, func(r *runner) batch.Resources { return c.obtainableResources(u, r, now) }) {
-		known, found := u.permits().forRunner(s.runner)
-		if found && known.ticket == "" {
+		a, found := u.stepAdvice().forRunner(s.runner)
+		if found && a.ticket == "" {
 			continue
 		}
 		room += s.tasks
-		if !u.permitted(s.runner, now, permitMargin) {
+		if !u.permitted(s.runner, now, ticketMargin) {
 			out = append(out, s)
 		}
 	}
@@ -166,8 +167,8 @@
 		return nil
 	}
 	slices.SortFunc(out, func(a, b slot) int {
-		_, knownA := u.permits().forRunner(a.runner)
-		_, knownB := u.permits().forRunner(b.runner)
+		_, knownA := u.stepAdvice().forRunner(a.runner)
+		_, knownB := u.stepAdvice().forRunner(b.runner)
 		return cmp.Or(compareBool(!knownA, !knownB), compareSlots(a, b))
 	})
 	if len(out) == 0 {
@@ -178,20 +179,21 @@
 }
 
 // unaskedRunners returns the runners that were never asked about and have no
-// room now: who may run the step doesn't change, and the time that a question
-// takes hardly depends on the number of runners in it.
+// room now. They are added to a question because which runners may run the step
+// doesn't change, and because the time that a question takes hardly depends on
+// the number of runners in it.
 func (c *Core) unaskedRunners(u *unit, named []slot, now steady.Time) []slot {
 	all := c.openSlots(u, now, func(r *runner) batch.Resources { return r.Capacity })
 	all = slices.DeleteFunc(all, func(s slot) bool {
-		_, known := u.permits().forRunner(s.runner)
+		_, known := u.stepAdvice().forRunner(s.runner)
 		return known || slices.ContainsFunc(named, func(n slot) bool { return n.runner == s.runner })
 	})
 	slices.SortFunc(all, compareSlots)
 	return all
 }
 
-// questionSize returns how many runners a question names: as many as take the
-// adviser as long as the question itself.
+// questionSize returns how many runners a question names: within the bounds, so
+// many that their times per runner add up to the adviser's decision time.
 func questionSize(a *batch.AdviceTimes) int {
 	if a.TimePerRunner <= 0 {
 		return questionSizeMax
@@ -212,28 +214,28 @@
 // HandleAdvice applies the adviser's answer to a question that was sent at
 // asked.
 func (c *Core) HandleAdvice(q Question, a batch.Approval, asked steady.Time) {
-	p := c.questionPermits(q)
-	if p == nil {
+	s := c.stepAdviceFor(q)
+	if s == nil {
 		return
 	}
-	p.questionPending = false
+	s.questionPending = false
 	for i, id := range q.Runners {
-		p.byRunner[id] = permit{born: q.born[i], ticket: a.Tickets[id], until: asked.Add(a.Valid)}
+		s.byRunner[id] = advice{born: q.born[i], ticket: a.Tickets[id], until: asked.Add(a.Valid)}
 	}
 }
 
 // HandleAdviceFailure notes that a question got no answer.
 func (c *Core) HandleAdviceFailure(q Question, now steady.Time) {
-	if p := c.questionPermits(q); p != nil {
-		p.questionPending = false
-		p.nextQuestionAt = now.Add(questionRetryDelay)
+	if s := c.stepAdviceFor(q); s != nil {
+		s.questionPending = false
+		s.nextQuestionAt = now.Add(questionRetryDelay)
 	}
 }
 
-func (c *Core) questionPermits(q Question) *permits {
+func (c *Core) stepAdviceFor(q Question) *stepAdvice {
 	j := c.jobs[q.Job]
 	if j == nil {
 		return nil
 	}
-	return j.permits[stepKey{q.Occurrence, q.Step}]
+	return j.adviceByStep[stepKey{q.Occurrence, q.Step}]
 }
--- a/batch/scheduler/advice_test.go
+++ b/batch/scheduler/advice_test.go
@@ -102,7 +102,7 @@
 	w.submit(advisedJob("gang", gang(2, 8, time.Second)), time.Second, false)
 	for range 400 {
 		w.run(50 * time.Millisecond)
-		for _, id := range w.ids() {
+		for _, id := range w.allRunners() {
 			if id != "r0-1" && id != "r3-2" {
 				must.Eq(t, 0, w.pool.Runner(id).Running(), must.Sprint(id))
 			}
--- a/batch/scheduler/answer.go
+++ b/batch/scheduler/answer.go
@@ -22,22 +22,22 @@
 	if r == nil {
 		return
 	}
-	known := r.runs[runKey{o.Task, o.Attempt}]
-	if known == nil {
+	run := r.runs[runKey{o.Task, o.Attempt}]
+	if run == nil {
 		return
 	}
 	if o.Kind == StopRun {
-		if a == Accepted && known.phase == stopping {
-			known.acceptedAt = now
+		if a == Accepted && run.phase == stopping {
+			run.acceptedAt = now
 		}
 		return
 	}
-	c.handleStartAnswer(known, a, now)
+	c.handleStartAnswer(run, a, now)
 }
 
 func (c *Core) handleStartAnswer(r *run, a Answer, now steady.Time) {
 	if r.phase != ordered {
-		if a == Accepted && r.phase == running {
+		if a == Accepted && r.phase == running { // a report listed the run before the answer arrived
 			r.acceptedAt = now
 		}
 		return
@@ -56,7 +56,7 @@
 		}
 		c.notifyObserver("refused", r, "start refused by the runner")
 		if u.needsAdvice() {
-			delete(u.permits().byRunner, r.runner.ID) // the ticket may be the reason for the refusal
+			delete(u.stepAdvice().byRunner, r.runner.ID) // the ticket may be the reason for the refusal
 		}
 		c.detach(r)
 		c.markChanged(u.job)
--- a/batch/scheduler/core.go
+++ b/batch/scheduler/core.go
@@ -23,7 +23,7 @@
 // Options configures a Core for a deployment.
 type Options struct {
 	MaxEarlyStart time.Duration // how long before its due time an occurrence may start
-	RemoteFactor  float64       // slowdown of tasks away from their gang's rack or from their data
+	RemoteFactor  float64       // factor by which tasks away from their gang's rack or their data take longer
 	// InheritedLeaseEnd is the time at which everything that an earlier
 	// scheduler started on a runner that doesn't answer has certainly ended
 	// with its lease.
@@ -82,8 +82,8 @@
 	maxReportAge time.Duration // greatest age of a runner's last report at which it may be given starts
 	dirty        []*job        // jobs with changes that TakeRecords has not returned yet
 
-	// State of one decision: the slots found so far, and the number of waiting
-	// units of each shape.
+	// State of one scheduling pass: the slots found so far, and the number of
+	// waiting units of each shape.
 	slotCache      map[slotKey][]slot
 	waitingByShape map[shape]int
 
@@ -159,6 +159,8 @@
 	}
 }
 
+// releaseStarts issues the starts of a unit whose record is committed. If one of
+// their runners no longer accepts starts, it stops the whole unit instead.
 func (c *Core) releaseStarts(u *unit, now steady.Time) {
 	for _, r := range u.runs {
 		if r.phase != planned || r.requiredVersion > u.job.committed {
--- a/batch/scheduler/decide.go
+++ b/batch/scheduler/decide.go
@@ -36,9 +36,10 @@
 	longRunningPreemptDelay = 2 * time.Second
 )
 
-// Decide ends runs whose runner's lease has expired, stops runs that must be
-// moved, and places the waiting units that are eligible. wall is the time of
-// day that the due times of occurrences are compared with.
+// Decide makes one scheduling pass: it ends runs whose runner's lease has
+// expired, stops runs that must be moved, and places the waiting units that are
+// eligible. wall is the time of day that the due times of occurrences are
+// compared with.
 func (c *Core) Decide(now steady.Time, wall time.Time) {
 	c.expireLeases(now)
 	c.slotCache, c.waitingByShape = make(map[slotKey][]slot), make(map[shape]int)
@@ -48,12 +49,12 @@
 		}
 	}
 	failed := make(map[shape]bool)
-	queue := c.queue(now, wall)
+	units := c.eligibleUnits(now, wall)
 	clear(c.slotCache) // checkRunning filled it before waitingByShape was known
-	for _, u := range queue {
+	for _, u := range units {
 		c.waitingByShape[u.shape()]++
 	}
-	for _, u := range queue {
+	for _, u := range units {
 		s := u.shape()
 		if failed[s] {
 			continue
@@ -67,19 +68,19 @@
 // shape holds the properties that decide whether a unit can be placed. When one
 // unit of a shape can't be placed, the others of that shape can't either.
 type shape struct {
-	service, label, dataRack string
-	request                  batch.Resources
-	tasks, perRunner         int
-	sameRack, fills, serves  bool
-	priority                 int
-	step                     *batch.Step // set when placement also depends on the step's own runs, failures or permits
-	adviceKey                stepKey     // set, with step, when the step needs advice
+	service, label, dataRack           string
+	request                            batch.Resources
+	tasks, perRunner                   int
+	sameRack, usesIdleCPU, servesUsers bool
+	priority                           int
+	step                               *batch.Step // set when placement also depends on the step's own runs, failures or advice
+	adviceKey                          stepKey     // set, with step, when the step needs advice
 }
 
 func (u *unit) shape() shape {
 	s := u.spec()
 	out := shape{
-		service: u.job.spec.Service, label: s.Label, dataRack: s.DataRack, request: s.ReservedResources(), fills: s.UsesIdleCPU, serves: s.ServesUsers(),
+		service: u.job.spec.Service, label: s.Label, dataRack: s.DataRack, request: s.ReservedResources(), usesIdleCPU: s.UsesIdleCPU, servesUsers: s.ServesUsers(),
 		tasks: u.tasks, perRunner: s.PerRunner, sameRack: s.SameRack, priority: u.job.spec.Priority,
 	}
 	if s.PerRunner > 0 || len(u.runnerFailures) > 0 || u.needsAdvice() {
@@ -130,13 +131,13 @@
 // estimatedTimeLeft estimates how much longer the unit takes. A gang takes as
 // long as its slowest member.
 func (u *unit) estimatedTimeLeft(now steady.Time) time.Duration {
-	var most time.Duration
+	var longest time.Duration
 	for _, r := range u.runs {
 		if r.percent < 100 {
-			most = max(most, r.timeLeft()-now.Sub(r.progressedAt))
+			longest = max(longest, r.timeLeft()-now.Sub(r.progressedAt))
 		}
 	}
-	return most
+	return longest
 }
 
 // timeLeft estimates how much longer a run takes.
@@ -147,6 +148,10 @@
 	return time.Duration(float64(100-r.percent) / r.pace * float64(time.Second))
 }
 
+// stalled reports whether no task of the unit has progressed within the stall
+// timeout. A unit isn't stalled while one of its tasks is done, isn't running
+// yet or is stopping, or while the last report of one of its runners is too old.
+// Long-running units are never stalled.
 func (c *Core) stalled(u *unit, now steady.Time) bool {
 	limit := stallTimeout
 	if u.job.spec.Priority == 0 {
@@ -175,15 +180,16 @@
 	}
 }
 
-// tooLateFactor is the multiple of its target time from which on completing a
-// job earlier has no value to its caller. Its units are then placed after those
-// that can still be in time.
+// tooLateFactor is the multiple of a job's target time beyond which it no longer
+// matters to the caller how late the job is. Units that can't end before then are
+// placed after those that can still be in time.
 const tooLateFactor = 3
 
-// queue returns the eligible units in the order in which they are placed: by
-// priority, then those that can still be in time, then those of small jobs,
-// because that serves the most callers in time, and then by age.
-func (c *Core) queue(now steady.Time, wall time.Time) []*unit {
+// eligibleUnits returns the waiting units that may be placed, in the order in
+// which they are placed: by priority, then those that can still be in time, then
+// those of small jobs, because that serves the most callers in time, and then by
+// age.
+func (c *Core) eligibleUnits(now steady.Time, wall time.Time) []*unit {
 	var out []*unit
 	for _, j := range c.active {
 		for _, u := range j.units {
@@ -247,9 +253,9 @@
 	return u.job.spec.Priority == 0 || u.spec().LongRunning && now.Sub(u.eligibleSince) >= longRunningPreemptDelay
 }
 
-// localityWait returns how long a unit waits for a place near its data. While
-// most of the service is free, it is the minimum: the place near the data is
-// then not taken by work that ends soon.
+// localityWait returns how long a unit waits for a place near its data or, for a
+// gang, in one rack. While most of the service is free, it is the minimum: that
+// place is then not occupied by work that ends soon.
 func (c *Core) localityWait(u *unit) time.Duration {
 	if u.job.spec.Priority == 0 {
 		return 0
@@ -260,14 +266,16 @@
 	return min(max(u.spec().Estimate, localityWaitMin), localityWaitMax)
 }
 
+// mostlyFree reports whether less than half of the service's accelerators and
+// less than half of its CPU are reserved.
 func (c *Core) mostlyFree(service string) bool {
-	var used, all batch.Resources
+	var reserved, all batch.Resources
 	for _, r := range c.runners {
 		if r.Service == service && r.listed {
-			used, all = used.Plus(r.used), all.Plus(r.Capacity)
+			reserved, all = reserved.Plus(r.reserved), all.Plus(r.Capacity)
 		}
 	}
-	return 2*used.Accelerators < all.Accelerators && 2*used.MilliCPU < all.MilliCPU
+	return 2*reserved.Accelerators < all.Accelerators && 2*reserved.MilliCPU < all.MilliCPU
 }
 
 // assign plans a run of each task of the unit.
@@ -313,6 +321,6 @@
 	if u.spec().LongRunning {
 		return false // its value is the time that it runs
 	}
-	late := c.deadline(u).Sub(u.eligibleSince)
-	return now.Sub(u.eligibleSince) > tooLateFactor*late-c.speeds.expectedDuration(u)
+	target := c.deadline(u).Sub(u.eligibleSince)
+	return now.Sub(u.eligibleSince) > tooLateFactor*target-c.speeds.expectedDuration(u)
 }
--- a/batch/scheduler/decide_test.go
+++ b/batch/scheduler/decide_test.go
@@ -26,20 +26,21 @@
 	return w
 }
 
-// A gang that fits no rack waits for a place near its data for a while. A new
-// scheduler counts that wait from the job's acceptance, not from its own start.
+// A gang that fits in no rack waits for a limited time before it is spread over
+// several. A new scheduler counts that wait from the job's acceptance, not from
+// its own start.
 func TestWaitCountsFromAcceptanceAfterATakeover(t *testing.T) {
 	w := faultFreeWorld(t, 2, 3)
 	step := gang(4, 8, 20*time.Second)
 	step.SameRack = true
-	filler := gang(3, 8, time.Minute)
-	filler.SameRack = true
-	w.submit(batch.Job{ID: "filler", Priority: 1, Steps: []batch.Step{filler}}, time.Minute, false)
+	occupant := gang(3, 8, time.Minute)
+	occupant.SameRack = true
+	w.submit(batch.Job{ID: "occupant", Priority: 1, Steps: []batch.Step{occupant}}, time.Minute, false)
 	w.run(200 * time.Millisecond)
 	w.submit(batch.Job{ID: "wide", Priority: 1, Steps: []batch.Step{step}}, 5*time.Second, false)
 	w.run(5 * time.Second)
 	must.Eq(t, batch.State(""), w.state("wide"))
-	w.cancel("filler")
+	w.cancel("occupant")
 	w.killScheduler()
 	w.run(3 * time.Second)
 	w.startScheduler()
@@ -164,15 +165,15 @@
 	}}}
 }
 
-// Urgent single tasks get their capacity in the same decision, not one after
-// the other: a guarantee of many accelerators is due back within 3 s.
-func TestUrgentTasksPreemptInOneDecision(t *testing.T) {
+// Urgent single tasks get their capacity in the same scheduling pass, not one
+// after the other: a guarantee of many accelerators is due back within 3 s.
+func TestUrgentTasksPreemptInOnePass(t *testing.T) {
 	w := faultFreeWorld(t, 1, 6)
 	w.submit(singleTaskJob("others", 48, true), 40*time.Second, false)
 	w.run(3 * time.Second)
 	urgent := batch.Step{Tasks: 5, Estimate: 3 * time.Second, Request: batch.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 8}}
 	w.submit(batch.Job{ID: "urgent", Stretch: 1.5, TargetLatency: 250 * time.Millisecond, Steps: []batch.Step{urgent}}, 3*time.Second, false)
-	w.run(3 * worldTick) // a decision, and the delivery of the stops
+	w.run(3 * worldTick) // a scheduling pass, and the delivery of the stops
 	must.Eq(t, 8, total(w.runsOf("others")))
 	w.run(700 * time.Millisecond)
 	must.Eq(t, 5, total(w.runsOf("urgent")))
@@ -260,7 +261,7 @@
 // next scheduler receives it and does not run the task again.
 func TestUnrecordedEndSurvivesTakeover(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
-	w.submit(batch.Job{ID: "filing", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}}, time.Second, false)
+	w.submit(batch.Job{ID: "unrecorded", Priority: 1, Steps: []batch.Step{gang(1, 1, time.Second)}}, time.Second, false)
 	w.run(200 * time.Millisecond)
 	w.storeDown = true
 	w.run(4 * time.Second)
@@ -269,20 +270,20 @@
 	w.run(time.Second)
 	w.startScheduler()
 	w.run(3 * time.Second)
-	must.Eq(t, batch.Completed, w.state("filing"))
+	must.Eq(t, batch.Completed, w.state("unrecorded"))
 	must.Eq(t, 1, w.starts)
 }
 
-// Many equal tasks are placed in one decision, and no runner gets more than it
-// has room for.
-func TestManyEqualTasksInOneDecision(t *testing.T) {
+// Many equal tasks are placed in one scheduling pass, and no runner gets more
+// than it has room for.
+func TestManyEqualTasksArePlacedInOnePass(t *testing.T) {
 	w := faultFreeWorld(t, 4, 6)
 	w.submit(batch.Job{ID: "wide", Priority: 1, Steps: []batch.Step{
 		{Tasks: 190, Estimate: time.Minute, Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1}},
 	}}, time.Minute, false)
 	w.run(100 * time.Millisecond)
 	placed := 0
-	for _, id := range w.ids() {
+	for _, id := range w.allRunners() {
 		placed += w.pool.Runner(id).Running()
 		must.LessEq(t, 8, w.pool.Runner(id).Running())
 	}
--- a/batch/scheduler/explore_test.go
+++ b/batch/scheduler/explore_test.go
@@ -40,7 +40,7 @@
 
 // busiest returns the runner with the most running tasks.
 func (w *world) busiest() string {
-	return slices.MaxFunc(w.ids(), func(a, b string) int {
+	return slices.MaxFunc(w.allRunners(), func(a, b string) int {
 		return w.pool.Runner(a).Running() - w.pool.Runner(b).Running()
 	})
 }
@@ -50,8 +50,8 @@
 const sequenceLength = 4
 
 // explore runs every sequence of fault actions. It returns their number and the
-// first failure in alphabetical order: a violated rule, or a job that is not
-// done at the end.
+// first failure in alphabetical order: a violated invariant, or a job that is
+// not done at the end.
 func explore(t *testing.T, inject func(*world)) (sequences int, failure string) {
 	var count atomic.Int64
 	var mu sync.Mutex
@@ -86,21 +86,21 @@
 	w.addRunners(1, 2)
 	w.startScheduler()
 	w.run(1100 * time.Millisecond)
-	w.submit(batch.Job{ID: "filing", Priority: 1, Steps: []batch.Step{gang(1, 1, 6*time.Second)}}, 6*time.Second, false)
+	w.submit(batch.Job{ID: "job", Priority: 1, Steps: []batch.Step{gang(1, 1, 6*time.Second)}}, 6*time.Second, false)
 	names := ""
 	for range sequenceLength {
-		m := faultActions[n%len(faultActions)]
+		action := faultActions[n%len(faultActions)]
 		n /= len(faultActions)
-		names += m.name + "; "
-		m.do(w)
+		names += action.name + "; "
+		action.do(w)
 		w.run(time.Second)
 	}
 	w.run(45 * time.Second)
 	switch {
 	case len(w.violations) > 0:
 		return names + w.violations[0]
-	case w.state("filing") != batch.Completed:
-		return names + fmt.Sprintf("the job is %q at the end", w.state("filing"))
+	case w.state("job") != batch.Completed:
+		return names + fmt.Sprintf("the job is %q at the end", w.state("job"))
 	}
 	return ""
 }
--- a/batch/scheduler/job.go
+++ b/batch/scheduler/job.go
@@ -19,9 +19,9 @@
 	committed    int             // the version that is in the store
 	recordQueued bool            // is in Core.dirty
 	added        steady.Time
-	size         float64               // declared core-seconds of one occurrence
-	permits      map[stepKey]*permits  // for the steps that need advice
-	work         map[stepKey]*estimate // logarithm of the seconds that a task of the step takes
+	size         float64                 // declared core-seconds of one occurrence
+	adviceByStep map[stepKey]*stepAdvice // for the steps that need advice
+	work         map[stepKey]*estimate   // logarithm of the seconds that a task of the step takes
 }
 
 type stepKey struct{ occurrence, step int }
@@ -45,12 +45,13 @@
 	eligibleSince     steady.Time    // when it became eligible to be placed; 0: not yet
 	runnerFailures    map[string]int // failures of the unit by runner
 	preemptingSince   steady.Time    // when others were last preempted for it; 0: none since it was placed
-	awaitedFactor     float64        // time factor of the slowest runner on which others were preempted for it
+	awaitedCost       float64        // highest slot.cost of the runners on which others were preempted for it
 	memberEndedAt     steady.Time    // when the first member of the current attempt ended
 	timesPreempted    int            // how often it was stopped for others
 	timesMoved        int            // how often it was moved to a faster place
 }
 
+// phase is the state of a run as the scheduler knows it.
 type phase int
 
 const (
@@ -163,7 +164,7 @@
 			u.checkpoint = t.Checkpoint
 		}
 		if t.Done {
-			j.finishUnit(u)
+			j.markDone(u)
 			continue
 		}
 		if t.Runner != "" && !j.state.Final() {
@@ -183,7 +184,8 @@
 	return nil
 }
 
-func (j *job) finishUnit(u *unit) {
+// markDone counts a unit as done. It doesn't end the job.
+func (j *job) markDone(u *unit) {
 	if u.done {
 		return
 	}
@@ -256,7 +258,7 @@
 	})
 }
 
-// CancelJob cancels a job for good.
+// CancelJob cancels a job.
 func (c *Core) CancelJob(id string, now steady.Time) {
 	j := c.jobs[id]
 	if j == nil || j.cancelled {
@@ -302,20 +304,21 @@
 	c.orders = append(c.orders, r.stopOrder())
 }
 
+// attach adds a run to its unit and its runner, and reserves its resources.
 func (c *Core) attach(r *run) {
 	r.unit.runs = append(r.unit.runs, r)
 	r.runner.runs[runKey{r.task(), r.attempt}] = r
-	r.runner.used = r.runner.used.Plus(r.unit.spec().ReservedResources())
+	r.runner.reserved = r.runner.reserved.Plus(r.unit.spec().ReservedResources())
 }
 
-// detach removes a run that has ended.
+// detach removes a run that has ended, and releases its resources.
 func (c *Core) detach(r *run) {
 	key := runKey{r.task(), r.attempt}
 	if r.runner.runs[key] != r {
 		return
 	}
 	delete(r.runner.runs, key)
-	r.runner.used = r.runner.used.Minus(r.unit.spec().ReservedResources())
+	r.runner.reserved = r.runner.reserved.Minus(r.unit.spec().ReservedResources())
 	u := r.unit
 	u.runs = slices.DeleteFunc(u.runs, func(o *run) bool { return o == r })
 	if len(u.runs) == 0 {
--- a/batch/scheduler/load_test.go
+++ b/batch/scheduler/load_test.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// On the users' heaviest days two thirds of what was lost was urgent work that
-// came late. With the queue order, preemption and learned speeds more urgent
-// jobs are in time than with first-fit in order of arrival, no other class has
-// fewer jobs in time, and every job is still done.
+// On the users' heaviest days late urgent work was two thirds of what was lost.
+// With the queue order, preemption and learned speeds more urgent jobs are in
+// time than with first-fit in order of arrival, no other class has fewer jobs
+// in time, and every job is still done.
 func TestUrgentBurstIsServedInTime(t *testing.T) {
 	sum := map[bool]map[string]*classResult{true: {}, false: {}}
 	for _, firstFit := range []bool{true, false} {
--- a/batch/scheduler/longrunning_test.go
+++ b/batch/scheduler/longrunning_test.go
@@ -32,14 +32,15 @@
 // runsOf counts a job's runs on each runner.
 func (w *world) runsOf(job string) map[string]int {
 	out := make(map[string]int)
-	for _, id := range w.ids() {
+	for _, id := range w.allRunners() {
 		out[id] = w.pool.RunningOf(id, job)
 	}
 	return out
 }
 
-// Fillers use the CPU that others leave, so their CPU isn't counted. They are
-// never placed beside a task that serves users, whichever of them starts first.
+// Fillers are tasks that use the CPU that others leave idle, so none is reserved
+// for them. They are never placed beside a task that serves users, whichever of
+// them starts first.
 func TestFillersAreNotPlacedBesideServingTasks(t *testing.T) {
 	for _, servingFirst := range []bool{true, false} {
 		w := faultFreeWorld(t, 1, 6)
@@ -57,7 +58,7 @@
 		w.run(3 * time.Second)
 		serving, filling := w.runsOf("serving"), w.runsOf("filling")
 		most := 0
-		for _, id := range w.ids() {
+		for _, id := range w.allRunners() {
 			must.True(t, serving[id] == 0 || filling[id] == 0, must.Sprint(id, serving, filling))
 			most = max(most, filling[id])
 		}
@@ -74,8 +75,9 @@
 	return sum
 }
 
-// A long-running task gets a place within its 6 s although the service is full,
-// preempts nothing urgent for it, and is started again however it ends.
+// A long-running task runs within 6 s of its submission or its last run although
+// the service is full, preempts nothing urgent for that, and is started again
+// however it ends.
 func TestLongRunningTaskRestartsWithin6s(t *testing.T) {
 	w := faultFreeWorld(t, 1, 2)
 	w.submit(batch.Job{ID: "urgent", Stretch: 1.5, Steps: []batch.Step{accelerated(8, 1)}}, time.Minute, false)
@@ -85,14 +87,14 @@
 	}
 	w.run(time.Second)
 	w.submit(batch.Job{ID: "long-running", Priority: 2, MaxAttempts: 2, Steps: []batch.Step{servingStep(1)}}, 4*time.Second, true)
-	away := time.Duration(0)
+	notRunning := time.Duration(0)
 	for range 600 {
 		w.run(50 * time.Millisecond)
-		away += 50 * time.Millisecond
+		notRunning += 50 * time.Millisecond
 		if total(w.runsOf("long-running")) > 0 {
-			away = 0
+			notRunning = 0
 		}
-		must.Less(t, 6*time.Second, away)
+		must.Less(t, 6*time.Second, notRunning)
 	}
 	must.Eq(t, 8, total(w.runsOf("urgent")))
 	must.Eq(t, batch.Running, w.state("long-running"))
--- a/batch/scheduler/move.go
+++ b/batch/scheduler/move.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// moveCost is the time that a move takes in addition to the unit's work: a
-	// stop, its report and a start.
-	moveCost = 500 * time.Millisecond
+	// moveOverhead is the time that a move takes in addition to the unit's work:
+	// a stop, its report and a start.
+	moveOverhead = 500 * time.Millisecond
 
 	// moveTimeRatio is the largest ratio of the time after a move to the time
 	// without it at which a unit is moved. Estimates of work and speed are off
@@ -49,16 +49,16 @@
 // measuredTimeLeft returns how much longer the unit takes at its measured pace.
 // It returns false while a task isn't running or has no measured pace.
 func (u *unit) measuredTimeLeft(now steady.Time) (time.Duration, bool) {
-	var most time.Duration
+	var longest time.Duration
 	for _, r := range u.runs {
 		if r.phase != running || r.percent < 100 && r.pace <= 0 {
 			return 0, false
 		}
 		if r.percent < 100 {
-			most = max(most, r.timeLeft()-now.Sub(r.progressedAt))
+			longest = max(longest, r.timeLeft()-now.Sub(r.progressedAt))
 		}
 	}
-	return most, len(u.runs) == u.tasks
+	return longest, len(u.runs) == u.tasks
 }
 
 // timeAfterMove returns how long the unit still takes if it is moved now. It
@@ -76,26 +76,26 @@
 	if u.spec().Checkpoints && u.checkpoint != "" {
 		left -= u.checkpointedShare()
 	}
-	return moveCost + time.Duration(left*worst*float64(c.speeds.expectedDuration(u))), true
+	return moveOverhead + time.Duration(left*worst*float64(c.speeds.expectedDuration(u))), true
 }
 
 // checkpointedShare estimates the share of the work that the last checkpoint
 // covers.
 func (u *unit) checkpointedShare() float64 {
-	most := 0
+	percent := 0
 	for _, r := range u.runs {
-		most = max(most, r.percent)
+		percent = max(percent, r.percent)
 	}
-	return checkpointCoverage * float64(most) / 100
+	return checkpointCoverage * float64(percent) / 100
 }
 
 // checkpointCoverage is the average share of the work done that a checkpoint
 // covers.
 const checkpointCoverage = 0.8
 
-// slowestInTime returns the largest time factor of a runner on which the unit
-// is in time if it starts at the given time.
-func (c *Core) slowestInTime(u *unit, start steady.Time) float64 {
+// maxCostInTime returns the highest slot.cost of a runner on which the unit is in
+// time if it starts at the given time.
+func (c *Core) maxCostInTime(u *unit, start steady.Time) float64 {
 	work := c.speeds.expectedDuration(u)
 	if work <= 0 {
 		return math.Inf(1)
@@ -106,7 +106,7 @@
 // wouldBeLate reports whether the unit is going to be late if it starts on the
 // chosen runners now.
 func (c *Core) wouldBeLate(u *unit, chosen []*runner, now steady.Time) bool {
-	limit := c.slowestInTime(u, now.Add(startLatency))
+	limit := c.maxCostInTime(u, now.Add(startLatency))
 	return slices.ContainsFunc(chosen, func(r *runner) bool { return c.cost(u, r, u.isRemote(chosen, r)) > limit })
 }
 
--- a/batch/scheduler/place.go
+++ b/batch/scheduler/place.go
@@ -15,8 +15,8 @@
 	slowdownTolerance = 0.55
 
 	// failedRunnerFactor multiplies the cost of a runner for each failure of
-	// the unit there. It is more than the users' runners differ from the
-	// average.
+	// the unit there. It is larger than the factor by which the users' runners
+	// differ from the average.
 	failedRunnerFactor = 2.0
 )
 
@@ -33,8 +33,8 @@
 	cost    float64 // expected time relative to an average runner near the data
 	rank    float64 // cost without the differences that don't matter to the job
 	tasks   int     // number of tasks that fit
-	remote  bool
-	explore bool // the runner's speed is not known yet and worth learning
+	remote  bool    // away from the unit's data
+	explore bool    // the runner's speed is not known yet and worth learning
 }
 
 // place returns a runner for each task of the unit, or nil when it doesn't fit.
@@ -53,6 +53,7 @@
 	return fillSlots(bestSlots(slots, u.tasks), u.tasks)
 }
 
+// freeSlots returns the slots that have room without preemption.
 func (c *Core) freeSlots(u *unit, now steady.Time, remote bool) []slot {
 	slots := c.slots(u, now, func(r *runner) batch.Resources { return r.freeFor(u, now) })
 	if !remote {
@@ -62,14 +63,15 @@
 }
 
 // slotKey identifies a list of slots that units of one shape share within one
-// decision.
+// scheduling pass.
 type slotKey struct {
 	shape  shape
 	remote bool
 }
 
 // placeOne places a single task. Steps have many equal tasks, so the slots for
-// all that wait are collected once in a decision, and checked again when used.
+// all waiting tasks of a shape are collected once in a scheduling pass, and each
+// is checked again when it is used.
 func (c *Core) placeOne(u *unit, now steady.Time, remote bool) []*runner {
 	key := slotKey{u.shape(), remote}
 	slots, found := c.slotCache[key]
@@ -113,11 +115,11 @@
 	if !u.needsAdvice() {
 		return open
 	}
-	return slices.DeleteFunc(open, func(s slot) bool { return !u.permitted(s.runner, now, permitMargin) })
+	return slices.DeleteFunc(open, func(s slot) bool { return !u.permitted(s.runner, now, ticketMargin) })
 }
 
 // openSlots returns the runners that have room for a task of the unit, with
-// their cost and rank. It ignores the adviser's permits.
+// their cost and rank. It ignores the adviser's answers.
 func (c *Core) openSlots(u *unit, now steady.Time, free func(*runner) batch.Resources) []slot {
 	var out []slot
 	step := u.spec()
@@ -144,6 +146,7 @@
 	return out
 }
 
+// cost returns slot.cost for the unit on r.
 func (c *Core) cost(u *unit, r *runner, remote bool) float64 {
 	cost := 1.0
 	if !c.opts.FirstFit {
@@ -158,8 +161,9 @@
 	return cost
 }
 
-// compareSlots orders faster runners first, then fuller ones, so that whole
-// runners stay free for large tasks.
+// compareSlots orders runners of better rank first, then those whose speed is
+// worth learning, then fuller ones, so that whole runners stay free for large
+// tasks, and then slower ones.
 func compareSlots(a, b slot) int {
 	return cmp.Or(
 		cmp.Compare(a.rank, b.rank),
@@ -189,17 +193,17 @@
 		limit = min(limit, step.PerRunner-r.tasksOf(u))
 	}
 	n := 0
-	holds := step.ReservedResources()
-	for n < limit && holds.Fits(free) {
-		free = free.Minus(holds)
+	perTask := step.ReservedResources()
+	for n < limit && perTask.Fits(free) {
+		free = free.Minus(perTask)
 		n++
 	}
 	return n
 }
 
-// conflictsWith reports whether a task of the step on r would put a filler
-// beside a task that serves users. The CPU that fillers take shows in the
-// response times within seconds.
+// conflictsWith reports whether a task of the step on r would put a task that
+// uses idle CPU beside one that serves users. The CPU that the former takes shows
+// in the response times of the latter within seconds.
 func (r *runner) conflictsWith(step *batch.Step) bool {
 	if !step.UsesIdleCPU && !step.ServesUsers() {
 		return false
--- a/batch/scheduler/preempt.go
+++ b/batch/scheduler/preempt.go
@@ -24,8 +24,8 @@
 	wasteFactorMax = 4.0
 
 	// wasteFactorInTime is the bound for a preemption that decides whether the
-	// job is in time: at the users' prices a late one is worth a fifth, and the
-	// difference pays for four to eight times the job's own work.
+	// job is in time: at the users' prices a late job is worth a fifth of one in
+	// time, and the difference pays for four to eight times the job's own work.
 	wasteFactorInTime = 4.0
 
 	// fasterRunnerWait is how long a unit that could start may still preempt
@@ -56,7 +56,7 @@
 	runner      *runner
 	units       []*unit
 	tasks       int       // number of tasks of the preempting unit that fit then
-	wasteByUnit []float64 // core-seconds that preempting each unit throws away
+	wasteByUnit []float64 // core-seconds that preempting each unit throws away, times one plus its timesPreempted
 	waste       float64   // their sum
 	runnerCost  float64   // slot.cost of the runner
 }
@@ -80,7 +80,7 @@
 // runners is being freed.
 func (c *Core) preemptForFasterRunners(u *unit, now steady.Time) bool {
 	if u.awaitsPreemption(now) {
-		return u.awaitedFactor <= c.slowestInTime(u, now.Add(startLatency))
+		return u.awaitedCost <= c.maxCostInTime(u, now.Add(startLatency))
 	}
 	return now.Sub(u.eligibleSince) <= fasterRunnerWait && c.preemptInTime(u, now)
 }
@@ -88,7 +88,7 @@
 // preemptInTime preempts others on runners that are fast enough for u to be in
 // time.
 func (c *Core) preemptInTime(u *unit, now steady.Time) bool {
-	chosen := c.choosePreemption(u, c.slowestInTime(u, now.Add(stopLatency)), now)
+	chosen := c.choosePreemption(u, c.maxCostInTime(u, now.Add(stopLatency)), now)
 	return c.stopVictims(u, chosen, wasteFactorInTime*c.ownWork(u), now)
 }
 
@@ -104,10 +104,10 @@
 	if chosen == nil || wasteOf(chosen) > allowed {
 		return false
 	}
-	u.preemptingSince, u.awaitedFactor = now, 0
+	u.preemptingSince, u.awaitedCost = now, 0
 	left := u.tasks
 	for _, v := range chosen {
-		u.awaitedFactor = math.Max(u.awaitedFactor, v.runnerCost)
+		u.awaitedCost = math.Max(u.awaitedCost, v.runnerCost)
 		take := min(v.tasks, left)
 		left -= take
 		for _, victim := range v.units {
@@ -179,6 +179,8 @@
 	return false
 }
 
+// nominate reserves capacity of r for the given number of the unit's tasks until
+// nominationTTL has passed.
 func (r *runner) nominate(u *unit, tasks int, now steady.Time) {
 	r.nominations = slices.DeleteFunc(r.nominations, func(n nomination) bool {
 		return n.unit == u || !now.Before(n.until) || !n.unit.waiting()
@@ -213,6 +215,8 @@
 // with a penalty for slow runners. Lower is better.
 func (v victims) score() float64 { return (v.waste/float64(v.tasks) + 1) * v.runnerCost * v.runnerCost }
 
+// cheapestRack returns the victims in the rack where their scores have the lowest
+// sum, or nil when no rack has enough room for the tasks.
 func cheapestRack(all []victims, tasks int) []victims {
 	racks := make(map[string][]victims)
 	for _, v := range all {
@@ -236,6 +240,8 @@
 	return best
 }
 
+// takeVictims returns the first of all that together make room for the tasks, or
+// nil when all of them don't.
 func takeVictims(all []victims, tasks int) []victims {
 	var out []victims
 	for _, v := range all {
@@ -318,7 +324,7 @@
 	return sum
 }
 
-// cores returns what one task holds in cores, with accelerators counted as
+// cores returns what one task requests in cores, with accelerators counted as
 // coresPerAccelerator cores each.
 func (u *unit) cores() float64 { return coresOf(u.spec().Request) }
 
--- a/batch/scheduler/random_test.go
+++ b/batch/scheduler/random_test.go
@@ -15,8 +15,8 @@
 
 // Schedulers are killed, runners crash, restart and become unreachable, and
 // orders and answers get lost or late. No task runs twice at the same time,
-// none starts before its turn or after its recorded end, and every job ends
-// once the faults are over.
+// none starts before the steps that it comes after are done or after its
+// recorded end, and every job ends once the faults are over.
 func TestNothingRunsTwiceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -43,9 +43,11 @@
 	}
 }
 
+// runRandomFaults submits random jobs for 25 s and injects random faults for
+// 40 s. It returns the cancelled jobs.
 func runRandomFaults(w *world, rng *rand.Rand) map[string]bool {
 	cancelled := make(map[string]bool)
-	ids := w.ids()
+	ids := w.allRunners()
 	for second := range 40 {
 		if second < 25 {
 			w.submit(randomJob(rng, fmt.Sprintf("job%02d", second)), time.Duration(500+rng.IntN(4000))*time.Millisecond, false)
--- a/batch/scheduler/report.go
+++ b/batch/scheduler/report.go
@@ -29,20 +29,22 @@
 func (c *Core) handleRestart(r *runner, report batch.Report, now steady.Time) {
 	r.lastEndSeen, r.ackedEnd, r.pendingEnds, r.failures = 0, 0, nil, 0
 	clear(r.orphans)
-	present := make(map[runKey]bool)
+	reported := make(map[runKey]bool)
 	for _, row := range report.Running {
-		present[runKey{row.Task, row.Attempt}] = true
+		reported[runKey{row.Task, row.Attempt}] = true
 	}
 	for _, e := range report.Ended {
-		present[runKey{e.Task, e.Attempt}] = true
+		reported[runKey{e.Task, e.Attempt}] = true
 	}
-	for key, known := range r.runs {
-		if !present[key] && known.phase != planned && known.phase != ordered {
-			c.loseRun(known, now, "runner restarted")
+	for key, run := range r.runs {
+		if !reported[key] && run.phase != planned && run.phase != ordered {
+			c.loseRun(run, now, "runner restarted")
 		}
 	}
 }
 
+// handleEnds handles the ends that were not handled before. Ends of unknown jobs
+// are only acknowledged.
 func (c *Core) handleEnds(r *runner, ends []batch.EndedTask, now steady.Time) {
 	for _, e := range ends {
 		if e.Sequence <= r.lastEndSeen {
@@ -86,7 +88,7 @@
 	}
 }
 
-// handleLostRunEnd handles the end of a run that was taken as lost because its
+// handleLostRunEnd handles the end of a run that was treated as lost because its
 // lease had run out. If it completed the task, a later attempt is not needed.
 func (c *Core) handleLostRunEnd(j *job, u *unit, e batch.EndedTask, now steady.Time) {
 	if e.Reason != batch.EndDone || u.done || u.spec().LongRunning {
@@ -97,6 +99,8 @@
 	c.stopUnit(u, now, "an earlier attempt is done")
 }
 
+// completeUnit marks a unit as done and stops its other runs. It completes the
+// job once all units are done. Long-running units are never done.
 func (c *Core) completeUnit(u *unit, now steady.Time) {
 	j := u.job
 	if u.done || j.state.Final() {
@@ -105,7 +109,7 @@
 	if u.spec().LongRunning {
 		return // it is started again
 	}
-	j.finishUnit(u)
+	j.markDone(u)
 	if !u.spec().Gang { // the members of a gang end together
 		c.stopUnit(u, now, "another copy is done")
 	}
@@ -117,6 +121,8 @@
 	c.endJob(j, batch.Completed, now)
 }
 
+// countFailure counts the failure of a run for its runner, and once for each
+// attempt for its unit. It ends the job when the unit has used up its attempts.
 func (c *Core) countFailure(u *unit, r *run, now steady.Time) {
 	if !u.spec().LongRunning { // long-running tasks may fail at any time, on a healthy runner too
 		r.runner.backOff(now)
@@ -136,32 +142,32 @@
 }
 
 func (c *Core) handleRunning(r *runner, asked steady.Time, rows []batch.RunningTask, now steady.Time) {
-	listed := make(map[runKey]bool, len(rows))
+	reported := make(map[runKey]bool, len(rows))
 	for _, row := range rows {
 		key := runKey{row.Task, row.Attempt}
-		listed[key] = true
-		known := r.runs[key]
-		if known == nil {
+		reported[key] = true
+		run := r.runs[key]
+		if run == nil {
 			c.stopOrphan(r, key, now)
 			continue
 		}
-		c.handleProgress(known, row, now)
+		c.handleProgress(run, row, now)
 	}
 	for key := range r.orphans {
-		if !listed[key] {
+		if !reported[key] {
 			delete(r.orphans, key)
 		}
 	}
-	for key, known := range r.runs {
-		if !listed[key] && known.lostIfUnlisted(asked) {
-			c.loseRun(known, now, "not listed by its runner")
+	for key, run := range r.runs {
+		if !reported[key] && run.lostIfUnreported(asked) {
+			c.loseRun(run, now, "not listed by its runner")
 		}
 	}
 }
 
-// lostIfUnlisted reports whether a report requested at asked must list the run
-// if it still exists.
-func (r *run) lostIfUnlisted(asked steady.Time) bool {
+// lostIfUnreported reports whether a report requested at asked lists the run if
+// it still exists.
+func (r *run) lostIfUnreported(asked steady.Time) bool {
 	switch r.phase {
 	case inherited:
 		return true
--- a/batch/scheduler/runner.go
+++ b/batch/scheduler/runner.go
@@ -11,7 +11,8 @@
 const (
 	// defaultMaxReportAge is the greatest age of a runner's last report at
 	// which it may be given starts, unless SetMaxReportAge changes it: the wait
-	// of one hold and its timeout.
+	// of one hold, the order that a runner answers with a report, and its
+	// timeout.
 	defaultMaxReportAge = 1800 * time.Millisecond
 
 	// leaseExpiryMargin is added to the time by which a runner's lease has run
@@ -37,12 +38,12 @@
 // runner is a runner with the runs that may exist on it.
 type runner struct {
 	batch.Runner
-	listed            bool        // its entry exists
-	reportRequestedAt steady.Time // when the last report was requested
-	reportReceivedAt  steady.Time // when the last report arrived
-	reachable         bool        // it answered the last hold
-	leaseEndsBy       steady.Time // when its lease has certainly run out
-	used              batch.Resources
+	listed            bool            // its entry in the store exists
+	reportRequestedAt steady.Time     // when the last report was requested
+	reportReceivedAt  steady.Time     // when the last report arrived
+	reachable         bool            // it answered the last hold
+	leaseEndsBy       steady.Time     // when its lease has certainly run out
+	reserved          batch.Resources // by its runs
 	runs              map[runKey]*run
 	orphans           map[runKey]steady.Time // runs that no record names, and when they were last ordered to stop
 	lastEndSeen       int64                  // highest sequence number of a handled end
@@ -76,7 +77,7 @@
 	return r
 }
 
-// RunnerListed adds or updates a runner from its entry.
+// RunnerListed adds or updates a runner from its entry in the store.
 func (c *Core) RunnerListed(entry batch.Runner, now steady.Time) {
 	r := c.ensureRunner(entry.ID)
 	if r.Born != 0 && entry.Born != 0 && r.Born > entry.Born {
@@ -93,7 +94,8 @@
 	r.listed = true
 }
 
-// RunnerUnlisted notes that a runner's entry is gone. Its runs still count.
+// RunnerUnlisted notes that a runner's entry in the store is gone. Its runs still
+// count.
 func (c *Core) RunnerUnlisted(id string) {
 	if r := c.runners[id]; r != nil {
 		r.listed = false
@@ -150,6 +152,7 @@
 	return r.ackedEnd
 }
 
+// acknowledge advances ackedEnd up to the first end that is not recorded yet.
 func (r *runner) acknowledge() {
 	n := 0
 	for _, e := range r.pendingEnds {
@@ -185,19 +188,21 @@
 	}
 }
 
+// backOff suspends the runner after a failure.
 func (r *runner) backOff(now steady.Time) {
 	r.failures++
 	pause := min(failureBackoff<<min(r.failures-1, 4), failureBackoffMax)
 	r.suspendedUntil = max(r.suspendedUntil, now.Add(pause))
 }
 
-// loseAllRuns takes all runs on a runner as lost.
+// loseAllRuns treats all runs on a runner as lost.
 func (c *Core) loseAllRuns(r *runner, now steady.Time, reason string) {
 	for _, lost := range r.runs {
 		c.loseRun(lost, now, reason)
 	}
 }
 
+// loseRun removes a run that is gone without a reported end.
 func (c *Core) loseRun(r *run, now steady.Time, reason string) {
 	c.notifyObserver("end", r, reason)
 	u := r.unit
@@ -208,8 +213,8 @@
 	}
 }
 
-// expireLeases takes the runs as lost whose runner's lease has run out, and
-// removes runners that are no longer needed.
+// expireLeases treats runs as lost when the lease of their runner has run out,
+// and removes runners that are no longer needed.
 func (c *Core) expireLeases(now steady.Time) {
 	for id, r := range c.runners {
 		if now.After(r.leaseEndsBy.Add(leaseExpiryMargin)) {
@@ -221,12 +226,12 @@
 	}
 }
 
-// loseRunsOfEndedLease takes the runs as lost that existed when the runner's
-// lease ran out. Later runs extend the lease with their start.
+// loseRunsOfEndedLease treats the runs that existed when the runner's lease ran
+// out as lost. Later runs extend the lease with their start.
 func (c *Core) loseRunsOfEndedLease(r *runner, now steady.Time) {
-	for _, known := range r.runs {
-		if !known.createdAt.After(r.leaseEndsBy) {
-			c.loseRun(known, now, "lease of the runner ran out")
+	for _, run := range r.runs {
+		if !run.createdAt.After(r.leaseEndsBy) {
+			c.loseRun(run, now, "lease of the runner ran out")
 		}
 	}
 }
@@ -238,6 +243,6 @@
 		now.Sub(r.reportReceivedAt) <= c.maxReportAge
 }
 
-func (r *runner) free() batch.Resources { return r.Capacity.Minus(r.used) }
+func (r *runner) free() batch.Resources { return r.Capacity.Minus(r.reserved) }
 
 func (r *runner) hasLabel(label string) bool { return label == "" || slices.Contains(r.Labels, label) }
--- a/batch/scheduler/speeds.go
+++ b/batch/scheduler/speeds.go
@@ -14,7 +14,7 @@
 // duration changes the less certain one more (a scalar Kalman update).
 type speeds struct {
 	factor map[string]*estimate // by runner
-	bias   map[string]*estimate // by queue: error of declared durations
+	bias   map[string]*estimate // by queue: factor by which declared durations are off
 }
 
 // estimate is an estimate of a logarithm.
@@ -51,8 +51,8 @@
 
 func newSpeeds(learned batch.Speeds) *speeds {
 	s := &speeds{factor: make(map[string]*estimate), bias: make(map[string]*estimate)}
-	for id, known := range learned.Runners {
-		s.factor[id] = &estimate{mean: known.LogFactor, variance: known.Variance}
+	for id, speed := range learned.Runners {
+		s.factor[id] = &estimate{mean: speed.LogFactor, variance: speed.Variance}
 	}
 	for queue, off := range learned.Queues {
 		s.bias[queue] = &estimate{mean: off}
@@ -179,7 +179,8 @@
 	return math.Exp(s.logFactor(runner) + cautionDeviations*math.Sqrt(variance))
 }
 
-// unknown reports whether hardly anything was learned of a runner's speed.
+// unknown reports whether hardly anything was learned of a runner's speed: the
+// variance of its factor is still above a third of the initial one.
 func (s *speeds) unknown(runner string) bool {
 	e := s.factor[runner]
 	return e == nil || e.variance > factorVariance/3
@@ -195,13 +196,13 @@
 	maxPaceError = 0.15
 
 	// maxLogFactor bounds the logarithm of a runner's factor: about seven times
-	// as long, which is slower than any runner was seen to turn.
+	// as long, which is slower than any runner was seen to become.
 	maxLogFactor = 2.0
 )
 
-// learnProgress updates the estimates from the pace of a running task. Runs
-// away from their data or from an earlier checkpoint say nothing about the
-// runner's usual speed.
+// learnProgress updates the estimates from the pace of a running task. Runs that
+// are away from their data or their gang's rack, or that were resumed from a
+// checkpoint, say nothing about the runner's usual speed.
 func (s *speeds) learnProgress(r *run) {
 	if r.resumed || r.remote {
 		return
--- a/batch/scheduler/world_test.go
+++ b/batch/scheduler/world_test.go
@@ -35,7 +35,7 @@
 	now              steady.Time
 	pool             *runner.Pool
 	core             *scheduler.Core // nil: no scheduler is active
-	token            uint64
+	token            uint64          // fencing token of the last scheduler
 	jobs             map[string]*batch.Job
 	stepTasks        map[string]runner.Task // by job and step
 	store            map[string]batch.Progress
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) ids() []string { return w.runnerIDs }
+func (w *world) allRunners() []string { return w.runnerIDs }
 
 // submit adds a job whose tasks each take the given work and, with fails, then
 // fail.
@@ -156,7 +156,7 @@
 // startScheduler starts a new scheduler from the recorded state.
 func (w *world) startScheduler() {
 	w.token++
-	core := scheduler.New(scheduler.Options{FirstFit: w.firstFit, RemoteFactor: 3, InheritedLeaseEnd: w.inheritedUntil(), LearnedSpeeds: w.learned})
+	core := scheduler.New(scheduler.Options{FirstFit: w.firstFit, RemoteFactor: 3, InheritedLeaseEnd: w.inheritedLeaseEnd(), LearnedSpeeds: w.learned})
 	core.SetConfiguration(&batch.Configuration{Organisations: []batch.Organisation{
 		{Name: "one", Guaranteed: batch.Resources{Accelerators: 24}},
 	}})
@@ -175,7 +175,7 @@
 			core.CancelJob(id, w.now)
 		}
 	}
-	for _, id := range w.ids() {
+	for _, id := range w.allRunners() {
 		r := w.pool.Runner(id).Runner
 		r.Born = 0
 		core.RunnerListed(r, w.now)
@@ -184,7 +184,7 @@
 	clear(w.lastHold)
 }
 
-func (w *world) inheritedUntil() steady.Time {
+func (w *world) inheritedLeaseEnd() steady.Time {
 	if w.skipInheritedWait {
 		return w.now
 	}
@@ -228,7 +228,7 @@
 }
 
 func (w *world) driveScheduler() {
-	for _, id := range w.ids() {
+	for _, id := range w.allRunners() {
 		w.holdRunner(id)
 	}
 	w.core.Decide(w.now, time.Unix(0, int64(w.now)))
@@ -295,6 +295,7 @@
 	core.HandleReport(id, w.now, report, w.now)
 }
 
+// noteAcknowledged sets doneAt for the tasks whose end is recorded.
 func (w *world) noteAcknowledged() {
 	for id, p := range w.store {
 		for _, t := range p.Tasks {
@@ -431,5 +432,5 @@
 	return false
 }
 
-// state returns the recorded state of a job.
+// state returns the recorded state of a job; empty: nothing is recorded.
 func (w *world) state(id string) batch.State { return w.store[id].State }
