--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -32,8 +32,8 @@
 	ctx context.Context
 }
 
-// TakeContext implements peer.ContextTaker.
-func (a *AdviceArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+// SetContext implements peer.ContextSetter.
+func (a *AdviceArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 // AdviceService lets the leader on another host ask the adviser through this
 // host. It is registered as "Advice".
--- a/config/distribute.go
+++ b/config/distribute.go
@@ -187,7 +187,7 @@
 		return ""
 	}
 	view := d.opts.Members.View()
-	for _, h := range view.Neighbours() {
+	for _, h := range view.LocalPeers() {
 		if h.Name < view.Self.Name && !h.Leaving {
 			return h.PeerAddress
 		}
--- a/config/relay.go
+++ b/config/relay.go
@@ -24,8 +24,8 @@
 	ctx context.Context
 }
 
-// TakeContext implements peer.ContextTaker.
-func (a *LatestArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+// SetContext implements peer.ContextSetter.
+func (a *LatestArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 // LatestReply tells a peer's newest edition and when the platform confirmed it.
 type LatestReply struct {
--- a/entryhost/entryhost.go
+++ b/entryhost/entryhost.go
@@ -152,7 +152,7 @@
 	timing := h.opts.Settings.Timing
 	h.ready.Store(false)
 	h.log.Info("draining", "wait", timing.DrainWait(), "limit", timing.DrainTimeout())
-	h.slices.membership.Drain()
+	h.slices.membership.AnnounceDrain()
 	ctx, cancel := context.WithTimeout(context.Background(), timing.DrainWait()+timing.DrainTimeout())
 	defer cancel()
 	if err := h.slices.election.Resign(ctx); err != nil {
--- a/entryhost/handler.go
+++ b/entryhost/handler.go
@@ -49,7 +49,7 @@
 		return apierr.New(apierr.Unavailable, "the host is draining", "use another entry host")
 	case snap.Revision == 0:
 		return apierr.New(apierr.Unavailable, "the host has no configuration yet", "wait until it reaches the platform or a peer")
-	case !h.slices.membership.Listed():
+	case !h.slices.membership.HasHostList():
 		return apierr.New(apierr.Unavailable, "the host has no host list yet", "wait until it reaches the platform or a peer")
 	}
 	return nil
--- a/entryhost/slices.go
+++ b/entryhost/slices.go
@@ -66,7 +66,7 @@
 		Logger:  h.opts.Logger.WithPrefix("platform"),
 		Metrics: h.opts.Metrics,
 	})
-	s.platform = kvstore.NewCarrier(s.guard, s.peers, func() []string { return s.membership.Carriers() })
+	s.platform = kvstore.NewCarrier(s.guard, s.peers, func() []string { return s.membership.PlatformProxies() })
 }
 
 func (s *slices) buildMembership(h *Host) {
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -120,7 +120,7 @@
 	if len(learned) == 0 || r.o.Peers == nil {
 		return
 	}
-	for _, h := range r.o.Membership.View().Neighbours() {
+	for _, h := range r.o.Membership.View().LocalPeers() {
 		ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, learned, &Ack{})
 		cancel()
--- a/gang/roster.go
+++ b/gang/roster.go
@@ -98,7 +98,7 @@
 func newShares(o Options) shares {
 	view := o.Membership.View()
 	sh := shares{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
-	for _, h := range view.Neighbours() {
+	for _, h := range view.LocalPeers() {
 		sh.hosts = append(sh.hosts, h.Name)
 	}
 	for _, h := range view.Workers(o.FailureDomain) {
--- a/intake/forward.go
+++ b/intake/forward.go
@@ -111,7 +111,7 @@
 	if view.Self.Name == scheduler {
 		return kvstore.Host{}, false
 	}
-	for _, n := range view.Neighbours() {
+	for _, n := range view.LocalPeers() {
 		if n.Leaving {
 			continue
 		}
--- a/kvstore/carry.go
+++ b/kvstore/carry.go
@@ -37,8 +37,8 @@
 	ctx context.Context
 }
 
-// TakeContext implements peer.ContextTaker.
-func (a *CarryArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+// SetContext implements peer.ContextSetter.
+func (a *CarryArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 // CarryReply is the platform's answer, brought by a peer.
 type CarryReply struct {
--- a/kvstore/keyspace_carry.go
+++ b/kvstore/keyspace_carry.go
@@ -32,8 +32,8 @@
 	ctx context.Context
 }
 
-// TakeContext implements peer.ContextTaker.
-func (a *KeyspaceArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+// SetContext implements peer.ContextSetter.
+func (a *KeyspaceArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 func (a *KeyspaceArgs) writes() bool { return a.Op == keyspaceCommit }
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -108,10 +108,10 @@
 	return out
 }
 
-// Carriers returns the peer addresses to ask for a platform call, best first:
+// PlatformProxies returns the peer addresses to ask for a platform call, best first:
 // this failure domain's, then the others', without those that said that they do
 // not reach the platform. Before any peer is known they are the seeds.
-func (m *Membership) Carriers() []string {
+func (m *Membership) PlatformProxies() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	view := m.view.Load()
@@ -132,16 +132,16 @@
 	return append(near, far...)
 }
 
-// Observe tells that a host was seen to answer. It keeps the host in the view
+// RecordContact tells that a host was seen to answer. It keeps the host in the view
 // although the list lacks it.
-func (m *Membership) Observe(name string) {
+func (m *Membership) RecordContact(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.observe(m.opts.Now(), name)
 }
 
-// Drain makes this host tell its peers that it leaves.
-func (m *Membership) Drain() {
+// AnnounceDrain makes this host tell its peers that it leaves.
+func (m *Membership) AnnounceDrain() {
 	m.mu.Lock()
 	m.draining = true
 	for _, r := range m.table.records {
@@ -300,8 +300,8 @@
 	m.publish()
 }
 
-// Listed reports whether a host list was read, from the platform or a peer.
-func (m *Membership) Listed() bool {
+// HasHostList reports whether a host list was read, from the platform or a peer.
+func (m *Membership) HasHostList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -83,11 +83,11 @@
 
 	eventually(t, func() bool { return len(c.peers()) == 2 && len(a.peers()) == 2 && len(b.peers()) == 2 })
 	must.Len(t, 1, c.View().Workers("n1"))
-	b.Drain()
+	b.AnnounceDrain()
 	eventually(t, func() bool { return a.peers()["b"] && c.peers()["b"] })
 	b.end()
 	eventually(t, func() bool { return a.View().Silent["b"] && c.View().Silent["b"] })
-	must.Eq(t, []string{a.self.PeerAddress}, c.Carriers())
+	must.Eq(t, []string{a.self.PeerAddress}, c.PlatformProxies())
 }
 
 func eventually(t *testing.T, holds func() bool) {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -105,7 +105,7 @@
 			}
 			v := tab.view(now)
 			must.Len(t, 3, v.Peers())
-			must.Len(t, 1, v.Neighbours())
+			must.Len(t, 1, v.LocalPeers())
 			for _, n := range []string{"s1-a", "s1-b", "s2-a", "s2-b"} {
 				tab.applyBeat(now, beat(entry(n, n[:2])))
 			}
@@ -134,7 +134,7 @@
 	b.Draining = true
 	tab.applyBeat(t0, b)
 	tab.applyList(t0.Add(time.Second), twoRegions()) // the list lags
-	leaving := func(v *View) bool { return v.Neighbours()[0].Leaving }
+	leaving := func(v *View) bool { return v.LocalPeers()[0].Leaving }
 	must.True(t, leaving(tab.view(t0.Add(time.Second))))
 	tab.applyBeat(t0.Add(2*time.Second), Beat{Host: entry("n1-b", "n1"), Incarnation: "2"})
 	must.False(t, leaving(tab.view(t0.Add(2*time.Second))))
--- a/membership/view.go
+++ b/membership/view.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// Neighbours returns the peers of this host's failure domain.
-func (v *View) Neighbours() []kvstore.Host {
+// LocalPeers returns the peers of this host's failure domain.
+func (v *View) LocalPeers() []kvstore.Host {
 	var out []kvstore.Host
 	for _, h := range v.Peers() {
 		if h.FailureDomain == v.Self.FailureDomain {
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -176,11 +176,11 @@
 	if err := c.dec.Decode(body); err != nil {
 		return err
 	}
-	if taker, ok := body.(ContextTaker); ok {
+	if taker, ok := body.(ContextSetter); ok {
 		c.mu.Lock()
 		ctx := c.calls[c.last].ctx
 		c.mu.Unlock()
-		taker.TakeContext(ctx)
+		taker.SetContext(ctx)
 	}
 	return nil
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -27,11 +27,11 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// ContextTaker is implemented by arguments that want the context of their call
+// ContextSetter is implemented by arguments that want the context of their call
 // on the serving side: it carries the caller's trace and deadline, and ends
 // when the caller's connection does.
-type ContextTaker interface {
-	TakeContext(ctx context.Context)
+type ContextSetter interface {
+	SetContext(ctx context.Context)
 }
 
 // Options configures a Server or a Pool. The zero value works without TLS.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -24,7 +24,7 @@
 	ctx  context.Context
 }
 
-func (a *EchoArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+func (a *EchoArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 type Echo struct{ ended chan error }
 
