--- a/election/election.go
+++ b/election/election.go
@@ -1,5 +1,8 @@
-// Package election decides which entry host schedules a failure domain, by a
-// lease in the platform's service whose entry version is the fencing term.
+// Package election elects one entry host per failure domain as its scheduler. The
+// leader holds a store key under a lease in the platform's key-value service; the
+// version of the key's entry is the fencing term. Only the current term and the
+// last seen holder are kept, in memory. The entry host runs the election, and the
+// scheduler and the intake ask it whether they may act.
 package election
 
 import (
@@ -17,25 +20,27 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// Holder tells whether this host is its failure domain's scheduler.
+// Holder reports whether this host is its failure domain's scheduler.
 // It is safe for concurrent use.
 type Holder interface {
-	// Term returns the fencing term and the local monotonic time until which it
-	// surely holds. held is false when this host must not act.
+	// Term returns the fencing term and the local monotonic time until which it is
+	// certain to be valid. held is false when this host must not act as scheduler.
 	Term() (term uint64, until time.Time, held bool)
 }
 
 const (
-	// DefaultTTL is how long a lease lasts without renewal.
+	// DefaultTTL is the time after which a lease expires unless it is renewed.
 	DefaultTTL = 3 * time.Second
-	// marginShare is the part of the TTL that the holder gives up, so that
-	// clocks of unequal rate do not let two hosts act at once.
-	marginShare = 10
-	// renewalsPerTTL is how often a lease is renewed within its TTL.
+	// safetyMarginDivisor sets the safety margin: the holder stops acting 1/10 of
+	// the TTL before the lease expires, so that clocks that run at different rates
+	// do not let two hosts act at once.
+	safetyMarginDivisor = 10
+	// renewalsPerTTL is the number of renewals that are sent per TTL.
 	renewalsPerTTL = 4
-	// candidateJitter spreads the candidates of a freed key.
-	candidateJitter = 100 * time.Millisecond
-	revokeTimeout   = time.Second
+	// acquireJitter is the longest random delay before a host tries to acquire a
+	// freed key; it keeps the candidates from trying all at once.
+	acquireJitter = 100 * time.Millisecond
+	revokeTimeout = time.Second
 )
 
 // Options configures an Election.
@@ -43,7 +48,7 @@
 	Store         kvstore.Store
 	Host          string // name of this host
 	FailureDomain string
-	TTL           time.Duration // 0: DefaultTTL
+	TTL           time.Duration // of the lease; 0: DefaultTTL
 	Now           func() time.Time
 	Random        *rand.Rand // nil: seeded at random; used by Run alone
 	Logger        *log.Logger
@@ -63,24 +68,24 @@
 	return o
 }
 
-// Key returns the store key that the scheduler of a failure domain holds.
+// Key returns the store key that a failure domain's scheduler holds under its lease.
 func Key(failureDomain string) string { return "cyclamentray/election/" + failureDomain }
 
 // Election campaigns for a failure domain's lease. It is safe for concurrent use.
 type Election struct {
 	opts Options
 
-	mu        sync.Mutex
-	tenure    tenure
-	scheduler string        // host last seen to hold the key; empty: none or not known
-	resigned  chan struct{} // closed by Resign
-	resigning bool
-	changed   chan struct{} // closed and replaced when the term changes
+	mu          sync.Mutex
+	current     heldTerm
+	scheduler   string        // host last seen to hold the key; empty: none or not known
+	resigned    chan struct{} // closed by Resign
+	resigning   bool
+	termChanged chan struct{} // closed and replaced when the term changes
 }
 
-// New returns an election in which this host does not yet take part; call Run.
+// New returns an Election. This host takes part in it only while Run runs.
 func New(opts Options) *Election {
-	return &Election{opts: opts.withDefaults(), resigned: make(chan struct{}), changed: make(chan struct{})}
+	return &Election{opts: opts.withDefaults(), resigned: make(chan struct{}), termChanged: make(chan struct{})}
 }
 
 var _ Holder = (*Election)(nil)
@@ -89,7 +94,7 @@
 func (e *Election) Term() (term uint64, until time.Time, held bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.tenure.term, e.tenure.until, !e.resigning && e.tenure.holds(e.opts.Now())
+	return e.current.term, e.current.validUntil, !e.resigning && e.current.validAt(e.opts.Now())
 }
 
 // Scheduler returns the name of the host last seen to hold the failure domain's
@@ -100,31 +105,32 @@
 	return e.scheduler
 }
 
-// Changed returns a channel that is closed when a term begins or ends here.
+// Changed returns a channel that is closed when a term of this host begins or ends.
 func (e *Election) Changed() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.changed
+	return e.termChanged
 }
 
-// Run campaigns until ctx ends, then frees the lease. It returns nil.
+// Run campaigns for the lease until ctx ends or Resign is called, then revokes any
+// lease it holds. It returns nil.
 func (e *Election) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go e.endOnResign(ctx, cancel)
+	go e.cancelOnResign(ctx, cancel)
 	for ctx.Err() == nil {
 		lease, ok := e.campaign(ctx)
 		if !ok {
 			continue
 		}
-		e.hold(ctx, lease)
-		e.step(tenure{}, "term ended")
-		e.revoke(context.WithoutCancel(ctx), lease)
+		e.renewUntilLost(ctx, lease)
+		e.setTerm(heldTerm{}, "term ended")
+		e.revokeLease(context.WithoutCancel(ctx), lease)
 	}
 	return nil
 }
 
-func (e *Election) endOnResign(ctx context.Context, cancel context.CancelFunc) {
+func (e *Election) cancelOnResign(ctx context.Context, cancel context.CancelFunc) {
 	select {
 	case <-e.resigned:
 		cancel()
@@ -132,11 +138,12 @@
 	}
 }
 
-// Resign hands the term over: from its return on this host neither holds a term
-// nor campaigns, and the lease is free for another host unless ctx ended first.
+// Resign gives up the term and revokes its lease, so that another host can acquire
+// the key at once. After it returns, this host neither holds a term nor campaigns.
+// The error means that the lease was not revoked, for example because ctx ended.
 func (e *Election) Resign(ctx context.Context) error {
 	e.mu.Lock()
-	lease := e.tenure.lease
+	lease := e.current.lease
 	if !e.resigning {
 		e.resigning = true
 		close(e.resigned)
@@ -145,23 +152,23 @@
 	if lease.ID == "" {
 		return nil
 	}
-	return errors.Wrap(e.opts.Store.Revoke(ctx, lease), "freeing the scheduler's lease")
+	return errors.Wrap(e.opts.Store.Revoke(ctx, lease), "revoking the scheduler's lease")
 }
 
-func (e *Election) revoke(ctx context.Context, lease kvstore.Lease) {
+func (e *Election) revokeLease(ctx context.Context, lease kvstore.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	if err := e.opts.Store.Revoke(ctx, lease); err != nil {
-		e.opts.Logger.Warn("lease not freed; it lapses by itself", "err", err)
+		e.opts.Logger.Warn("failed to revoke the scheduler's lease; it expires after its TTL", "err", err)
 	}
 }
 
-// campaign waits until the key is free and tries to take it once.
+// campaign waits until the key is free and tries once to acquire it.
 func (e *Election) campaign(ctx context.Context) (kvstore.Lease, bool) {
-	if !e.waitFree(ctx) {
+	if !e.waitUntilFree(ctx) {
 		return kvstore.Lease{}, false
 	}
-	pause.For(ctx, time.Duration(e.opts.Random.Int64N(int64(candidateJitter))))
+	pause.For(ctx, time.Duration(e.opts.Random.Int64N(int64(acquireJitter))))
 	sent := e.opts.Now()
 	callCtx, cancel := context.WithTimeout(ctx, e.opts.TTL)
 	defer cancel()
@@ -171,26 +178,27 @@
 	}
 	entry, err := e.opts.Store.Acquire(callCtx, Key(e.opts.FailureDomain), []byte(e.opts.Host), lease)
 	if err != nil {
-		// After an unknown outcome the lease may hold the key: free it either way.
-		e.revoke(context.WithoutCancel(ctx), lease)
+		// The call may have succeeded although its reply was lost: revoke the lease
+		// in either case, since it may hold the key.
+		e.revokeLease(context.WithoutCancel(ctx), lease)
 		return kvstore.Lease{}, false
 	}
 	e.setScheduler(e.opts.Host)
-	e.step(newTenure(lease, entry.Version, sent), "term begun")
+	e.setTerm(newHeldTerm(lease, entry.Version, sent), "term started")
 	return lease, true
 }
 
-// waitFree returns true once the key is seen to be free.
-func (e *Election) waitFree(ctx context.Context) bool {
+// waitUntilFree returns true once the key is seen to be free, or false when ctx ends.
+func (e *Election) waitUntilFree(ctx context.Context) bool {
 	var seen kvstore.Entry
 	key := Key(e.opts.FailureDomain)
 	for first := true; ctx.Err() == nil; first = false {
 		var entry kvstore.Entry
 		var err error
 		if first {
-			entry, err = e.get(ctx, key)
+			entry, err = e.readEntry(ctx, key)
 		} else {
-			entry, err = e.watch(ctx, key, seen.Version)
+			entry, err = e.watchEntry(ctx, key, seen.Version)
 		}
 		if err != nil {
 			pause.For(ctx, e.retryDelay())
@@ -206,7 +214,7 @@
 	return false
 }
 
-func (e *Election) get(ctx context.Context, key string) (kvstore.Entry, error) {
+func (e *Election) readEntry(ctx context.Context, key string) (kvstore.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.opts.TTL)
 	defer cancel()
 	entry, err := e.opts.Store.Get(ctx, key)
@@ -216,29 +224,29 @@
 	return entry, err
 }
 
-// watch waits for a change for little more than one TTL: a watch whose
-// connection went silent must not delay a takeover for longer. After such a
-// one the key is read plainly.
-func (e *Election) watch(ctx context.Context, key string, after uint64) (kvstore.Entry, error) {
+// watchEntry waits for a change of the key for at most 1.5 TTLs, so that a watch
+// whose connection no longer delivers anything cannot delay a takeover for longer.
+// After that time-out it reads the key instead.
+func (e *Election) watchEntry(ctx context.Context, key string, after uint64) (kvstore.Entry, error) {
 	watchCtx, cancel := context.WithTimeout(ctx, e.opts.TTL*3/2)
 	defer cancel()
 	entry, err := e.opts.Store.Watch(watchCtx, key, after)
 	if err == nil || ctx.Err() != nil || watchCtx.Err() == nil {
 		return entry, err
 	}
-	return e.get(ctx, key)
+	return e.readEntry(ctx, key)
 }
 
-// hold renews the lease until the term has lapsed on this host's own clock or
-// ctx ends. It never renews beyond that: a host whose renewals arrive but whose
-// answers do not would keep the lease from everyone and act under it itself
-// no more.
-func (e *Election) hold(ctx context.Context, lease kvstore.Lease) {
+// renewUntilLost renews the lease until the store reports it lost, the term has
+// expired by this host's clock or ctx ends. It does not renew an expired term:
+// if renewals reached the store but their replies were lost, the lease would keep
+// other hosts out while this host could no longer act under it.
+func (e *Election) renewUntilLost(ctx context.Context, lease kvstore.Lease) {
 	for ctx.Err() == nil {
 		pause.For(ctx, e.opts.TTL/renewalsPerTTL)
 		sent := e.opts.Now()
-		if !e.holds(sent) {
-			e.opts.Logger.Warn("term lapsed")
+		if !e.termValidAt(sent) {
+			e.opts.Logger.Warn("term expired: no renewal was confirmed in time")
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, e.opts.TTL/renewalsPerTTL)
@@ -246,9 +254,9 @@
 		cancel()
 		switch {
 		case err == nil:
-			e.renewed(sent)
+			e.extendTerm(sent)
 		case errors.Is(err, kvstore.ErrLeaseLost):
-			e.opts.Logger.Warn("lease lost")
+			e.opts.Logger.Warn("lease lost: the store no longer knows it")
 			return
 		default:
 			e.opts.Metrics.GetOrCreateCounter("cyclamentray_election_renewal_failures_total").Inc()
@@ -256,16 +264,16 @@
 	}
 }
 
-func (e *Election) holds(now time.Time) bool {
+func (e *Election) termValidAt(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.tenure.holds(now)
+	return e.current.validAt(now)
 }
 
-func (e *Election) renewed(sent time.Time) {
+func (e *Election) extendTerm(sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tenure = e.tenure.renewed(sent)
+	e.current = e.current.extendedFrom(sent)
 }
 
 func (e *Election) setScheduler(host string) {
@@ -274,11 +282,12 @@
 	e.scheduler = host
 }
 
-func (e *Election) step(next tenure, message string) {
+// setTerm replaces the term, wakes the receivers of Changed and logs message.
+func (e *Election) setTerm(next heldTerm, message string) {
 	e.mu.Lock()
-	e.tenure = next
-	close(e.changed)
-	e.changed = make(chan struct{})
+	e.current = next
+	close(e.termChanged)
+	e.termChanged = make(chan struct{})
 	e.mu.Unlock()
 	e.opts.Metrics.GetOrCreateCounter("cyclamentray_election_changes_total").Inc()
 	e.opts.Logger.Info(message, "failureDomain", e.opts.FailureDomain, "term", next.term)
