--- a/peer/codec.go
+++ b/peer/codec.go
@@ -18,20 +18,21 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// answerTimeout bounds the sending of an answer to a peer that does not read.
-const answerTimeout = 5 * time.Second
+// responseWriteTimeout limits how long the server blocks when it sends a response to
+// a peer that does not read.
+const responseWriteTimeout = 5 * time.Second
 
 const tracerName = "github.com/cyclamentray/cyclamentray/peer"
 
 var propagator = propagation.TraceContext{}
 
-// requestHeader precedes each request. It adds to net/rpc's header what net/rpc
-// lacks: the trace and the time the caller still waits.
+// requestHeader precedes each request. Besides the fields of net/rpc's header it
+// carries the trace and the time for which the caller still waits.
 type requestHeader struct {
 	Method string
 	Seq    uint64
 	Trace  string        // W3C traceparent; empty: none
-	Wait   time.Duration // from sending
+	Wait   time.Duration // how long the caller waits, from sending
 }
 
 type responseHeader struct {
@@ -39,7 +40,7 @@
 	Error string // empty: success
 }
 
-// stream is the gob encoding shared by both ends of a connection.
+// stream encodes and decodes gob messages on one connection. Both codecs use it.
 type stream struct {
 	conn net.Conn
 	dec  *gob.Decoder
@@ -52,8 +53,8 @@
 	return stream{conn: conn, dec: gob.NewDecoder(bufio.NewReader(conn)), enc: gob.NewEncoder(buf), buf: buf}
 }
 
-// send writes one message by the deadline. After an error the stream may hold
-// half a message, so it is closed.
+// send writes a header and a body by the deadline. On an error it closes the
+// connection, since part of the message may have been written.
 func (s *stream) send(deadline time.Time, header, body any) error {
 	err := s.conn.SetWriteDeadline(deadline)
 	if err == nil {
@@ -75,17 +76,17 @@
 	return s.buf.Flush()
 }
 
-// envelope carries the call's context, which has a deadline, from Pool.Call to
-// the client codec.
+// envelope passes the arguments of a call and its context, which has a deadline,
+// from Pool.Call to the client codec.
 type envelope struct {
 	ctx  context.Context
 	args any
 }
 
-// clientCodec implements rpc.ClientCodec.
+// clientCodec implements rpc.ClientCodec on a pooled connection.
 type clientCodec struct {
 	stream
-	onBroken func() // called once reading fails: the connection is of no more use
+	onFailure func() // called when a read or write fails: the connection cannot be used again
 }
 
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
@@ -98,7 +99,7 @@
 	h.Wait = time.Until(deadline)
 	err := c.send(deadline, h, e.args)
 	if err != nil {
-		c.onBroken()
+		c.onFailure()
 	}
 	return err
 }
@@ -106,7 +107,7 @@
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	var h responseHeader
 	if err := c.dec.Decode(&h); err != nil {
-		c.onBroken()
+		c.onFailure()
 		return err
 	}
 	r.Seq, r.Error = h.Seq, h.Error
@@ -116,31 +117,31 @@
 func (c *clientCodec) ReadResponseBody(body any) error {
 	err := c.dec.Decode(body)
 	if err != nil {
-		c.onBroken()
+		c.onFailure()
 	}
 	return err
 }
 
 func (c *clientCodec) Close() error { return c.conn.Close() }
 
-// serverCall is a request that is being served.
+// serverCall is the state of a request that is being served.
 type serverCall struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	span   trace.Span
 }
 
-// serverCodec implements rpc.ServerCodec. net/rpc reads from one goroutine and
-// writes under its own lock; mu covers the calls that both touch.
+// serverCodec implements rpc.ServerCodec. net/rpc reads in one goroutine and
+// serialises writes with a lock of its own; mu guards calls, which both use.
 type serverCodec struct {
 	stream
-	host   string          // of the serving side, for spans
-	ctx    context.Context // ends with the connection
-	cancel context.CancelFunc
-	last   uint64 // sequence number of the request whose body comes next
+	host    string          // name of the serving host, for spans
+	ctx     context.Context // cancelled when the connection closes
+	cancel  context.CancelFunc
+	bodySeq uint64 // sequence number of the request whose body is read next
 
 	mu    sync.Mutex
-	calls map[uint64]serverCall
+	calls map[uint64]serverCall // by sequence number
 }
 
 func newServerCodec(conn net.Conn, host string) *serverCodec {
@@ -154,12 +155,13 @@
 		c.cancel()
 		return err
 	}
-	r.ServiceMethod, r.Seq, c.last = h.Method, h.Seq, h.Seq
-	c.begin(h)
+	r.ServiceMethod, r.Seq, c.bodySeq = h.Method, h.Seq, h.Seq
+	c.beginCall(h)
 	return nil
 }
 
-func (c *serverCodec) begin(h requestHeader) {
+// beginCall starts the span and the context of a request.
+func (c *serverCodec) beginCall(h requestHeader) {
 	ctx := propagator.Extract(c.ctx, propagation.MapCarrier{"traceparent": h.Trace})
 	ctx, span := otel.Tracer(tracerName).Start(ctx, h.Method,
 		trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("rpc.system", "net/rpc"), telemetry.HostKey.String(c.host)))
@@ -176,21 +178,23 @@
 	if err := c.dec.Decode(body); err != nil {
 		return err
 	}
-	if taker, ok := body.(ContextSetter); ok {
+	if setter, ok := body.(ContextSetter); ok {
 		c.mu.Lock()
-		ctx := c.calls[c.last].ctx
+		ctx := c.calls[c.bodySeq].ctx
 		c.mu.Unlock()
-		taker.SetContext(ctx)
+		setter.SetContext(ctx)
 	}
 	return nil
 }
 
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
-	c.end(r.Seq, r.Error)
-	return c.send(time.Now().Add(answerTimeout), responseHeader{Seq: r.Seq, Error: r.Error}, body)
+	c.endCall(r.Seq, r.Error)
+	return c.send(time.Now().Add(responseWriteTimeout), responseHeader{Seq: r.Seq, Error: r.Error}, body)
 }
 
-func (c *serverCodec) end(seq uint64, failure string) {
+// endCall ends the span and the context of a request. failure is the error text of
+// its response; empty: success.
+func (c *serverCodec) endCall(seq uint64, failure string) {
 	c.mu.Lock()
 	call, ok := c.calls[seq]
 	delete(c.calls, seq)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,8 @@
-// Package peer carries net/rpc calls between entry hosts. Every call has a
-// deadline and a trace context.
+// Package peer provides the net/rpc client and server for calls between entry hosts.
+// Every call has a deadline and a trace context, and both are sent to the serving
+// side. A Pool keeps one connection per peer; a Server keeps its listeners and open
+// connections. The entry host creates one of each for the packages that call or serve
+// peers.
 package peer
 
 import (
@@ -14,10 +17,11 @@
 	"github.com/cyclamentray/cyclamentray/internal/defaults"
 )
 
-// DefaultTimeout bounds a call whose context has no deadline.
+// DefaultTimeout is the time limit for a call whose context has no deadline, and
+// for a dial.
 const DefaultTimeout = 2 * time.Second
 
-// ErrNotSent is in the chain of a call's error when nothing was sent.
+// ErrNotSent is in the error chain of a call whose request was not sent.
 var ErrNotSent = errors.New("peer: call not sent; it may be made again")
 
 // Caller calls a method, such as "Config.Latest", of the entry host whose peer
@@ -27,18 +31,18 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// ContextSetter is implemented by arguments that want the context of their call
-// on the serving side: it carries the caller's trace and deadline, and ends
-// when the caller's connection does.
+// ContextSetter is implemented by argument types whose handlers need the context of
+// the call. The server calls SetContext before the handler runs. The context carries
+// the caller's trace and deadline and is cancelled when the caller's connection closes.
 type ContextSetter interface {
 	SetContext(ctx context.Context)
 }
 
 // Options configures a Server or a Pool. The zero value works without TLS.
 type Options struct {
-	Host    string      // name of this host, for spans; empty: not told
-	TLS     *tls.Config // nil: plain TCP
-	Timeout time.Duration
+	Host    string        // name of this host, for spans; may be empty
+	TLS     *tls.Config   // nil: plain TCP
+	Timeout time.Duration // of dials and of calls without a deadline; 0: DefaultTimeout
 	Logger  *log.Logger
 	Metrics *metrics.Set
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func serve(t *testing.T, e *Echo) (*peer.Pool, *net.TCPListener) {
+func startEchoServer(t *testing.T, e *Echo) (*peer.Pool, *net.TCPListener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -61,7 +61,7 @@
 
 func TestCallTimesOutAndTheNextUsesAFreshConnection(t *testing.T) {
 	e := &Echo{ended: make(chan error, 1)}
-	p, l := serve(t, e)
+	p, l := startEchoServer(t, e)
 	address := l.Addr().String()
 	var reply string
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -69,20 +69,20 @@
 
 	err := p.Call(ctx, address, "Echo.Say", &EchoArgs{Text: "late", Wait: time.Minute}, &reply)
 	must.ErrorIs(t, err, context.DeadlineExceeded)
-	must.Error(t, <-e.ended) // the server's handler learns that nobody waits
+	must.Error(t, <-e.ended) // the handler's context ends as well
 	must.NoError(t, p.Call(context.Background(), address, "Echo.Say", &EchoArgs{Text: "now"}, &reply))
 	must.Eq(t, "now", reply)
 	must.ErrorContains(t, p.Call(context.Background(), address, "Echo.Say", &EchoArgs{}, &reply), "nothing to say")
 }
 
-// deafListener never serves the first connection that it accepts, as when
-// something between the two ends has lost track of it.
-type deafListener struct {
+// blackholeListener discards what arrives on the first connection that it accepts, as
+// when a middlebox has lost the state of that connection.
+type blackholeListener struct {
 	net.Listener
 	once sync.Once
 }
 
-func (l *deafListener) Accept() (net.Conn, error) {
+func (l *blackholeListener) Accept() (net.Conn, error) {
 	l.once.Do(func() {
 		if conn, err := l.Listener.Accept(); err == nil {
 			go func() { _, _ = io.Copy(io.Discard, conn) }()
@@ -91,12 +91,12 @@
 	return l.Listener.Accept()
 }
 
-func TestSilentConnectionIsLeftAfterOneTimeout(t *testing.T) {
+func TestSilentConnectionIsReplacedAfterOneTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	s := peer.NewServer(peer.Options{})
 	must.NoError(t, s.Register("Echo", &Echo{}))
-	go func() { _ = s.Serve(&deafListener{Listener: l}) }()
+	go func() { _ = s.Serve(&blackholeListener{Listener: l}) }()
 	defer s.Close()
 	p := peer.NewPool(peer.Options{Timeout: 200 * time.Millisecond})
 	defer p.Close()
@@ -108,8 +108,8 @@
 	must.NoError(t, p.Call(ctx, l.Addr().String(), "Echo.Say", args, &reply))
 }
 
-func TestCallToAFrozenPeerEndsAtItsDeadline(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel, never reads
+func TestCallToAPeerThatDoesNotReadEndsAtItsDeadline(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts the connection; nothing reads from it
 	must.NoError(t, err)
 	defer l.Close()
 	p := peer.NewPool(peer.Options{})
@@ -121,12 +121,12 @@
 	must.Error(t, p.Call(ctx, l.Addr().String(), "Echo.Say", &EchoArgs{Text: big}, &reply))
 }
 
-func TestTraceCrossesThePeerConnection(t *testing.T) {
+func TestTraceContextPropagatesToTheServer(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	before := otel.GetTracerProvider()
 	otel.SetTracerProvider(sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(recorder)))
 	defer otel.SetTracerProvider(before)
-	p, l := serve(t, &Echo{})
+	p, l := startEchoServer(t, &Echo{})
 	var reply string
 	must.NoError(t, p.Call(context.Background(), l.Addr().String(), "Echo.Say", &EchoArgs{Text: "a"}, &reply))
 	spans := recorder.Ended()
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -20,34 +20,35 @@
 	"github.com/cyclamentray/cyclamentray/internal/countedconn"
 )
 
-// Pool keeps one connection to each peer and makes calls over it.
+// Pool keeps one connection per peer address and makes calls over it.
 // It is safe for concurrent use.
 type Pool struct {
 	opts Options
 
 	mu     sync.Mutex
 	closed bool
-	links  map[string]*link
+	conns  map[string]*pooledConn
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns a Pool without connections; it dials a peer at the first call.
 func NewPool(opts Options) *Pool {
-	return &Pool{opts: opts.withDefaults(), links: make(map[string]*link)}
+	return &Pool{opts: opts.withDefaults(), conns: make(map[string]*pooledConn)}
 }
 
 var _ Caller = (*Pool)(nil)
 
-// link is one connection. Once retired it takes no new calls; the calls it
-// carries keep their own deadlines, and the last of them closes it.
-type link struct {
-	ready   chan struct{} // closed when dialled
-	client  *rpc.Client   // set before ready is closed; nil: the dial failed
-	err     error
-	calls   int
-	retired bool
+// pooledConn is a connection to one peer, or a dial in progress. A retired connection
+// takes no new calls. Calls in flight on it go on until their own deadlines, and it
+// is closed when the last of them ends.
+type pooledConn struct {
+	ready    chan struct{} // closed when the dial has ended
+	client   *rpc.Client   // set before ready is closed; nil if the dial failed
+	err      error
+	inFlight int
+	retired  bool
 }
 
-// Call implements Caller. It does not send a request twice.
+// Call implements Caller. It sends each request at most once.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -61,47 +62,49 @@
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
 	}
-	p.count(method, err)
+	p.countCall(method, err)
 	return err
 }
 
 func (p *Pool) call(ctx context.Context, address, method string, args, reply any) error {
-	l, err := p.acquire(ctx, address)
+	pc, err := p.acquire(ctx, address)
 	if err != nil {
 		return err
 	}
-	defer p.release(l)
-	// A late answer is decoded after we have gone, so not into the caller's reply.
-	answer := reflect.New(reflect.TypeOf(reply).Elem())
-	call := l.client.Go(method, envelope{ctx: ctx, args: args}, answer.Interface(), make(chan *rpc.Call, 1))
+	defer p.release(pc)
+	// Decode into a separate value: a late response may be decoded after this call
+	// has returned, when reply belongs to the caller again.
+	response := reflect.New(reflect.TypeOf(reply).Elem())
+	call := pc.client.Go(method, envelope{ctx: ctx, args: args}, response.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		err := p.settle(address, l, call.Error)
-		if err == nil && late(ctx) {
+		err := p.handleCallError(address, pc, call.Error)
+		if err == nil && deadlinePassed(ctx) {
 			return errors.Wrapf(context.DeadlineExceeded, "calling %s of peer %s", method, address)
 		}
 		if err == nil {
-			reflect.ValueOf(reply).Elem().Set(answer.Elem())
+			reflect.ValueOf(reply).Elem().Set(response.Elem())
 		}
 		return err
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			p.retire(address, l)
+			p.retire(address, pc)
 		}
 		return errors.Wrapf(ctx.Err(), "calling %s of peer %s", method, address)
 	}
 }
 
-// late reports whether the call's deadline has passed, also when its timer has
-// not fired yet. The serving side gave up by then, so its answer may be empty.
-func late(ctx context.Context) bool {
+// deadlinePassed reports whether the call's deadline has passed, even if the context's
+// timer has not fired yet. The serving side stops at the deadline too, so the response
+// may be empty.
+func deadlinePassed(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ok && !time.Now().Before(deadline)
 }
 
-// settle turns the error of a finished call into ours. Anything but the
-// service's own error means that the connection broke.
-func (p *Pool) settle(address string, l *link, err error) error {
+// handleCallError wraps the error of a finished call. An error that the service did
+// not return itself means that the connection broke, so the connection is retired.
+func (p *Pool) handleCallError(address string, pc *pooledConn, err error) error {
 	var remote rpc.ServerError
 	switch {
 	case err == nil:
@@ -109,74 +112,75 @@
 	case errors.As(err, &remote):
 		return errors.Wrapf(err, "peer %s", address)
 	}
-	p.retire(address, l)
-	return unreachable(address, err)
+	p.retire(address, pc)
+	return newUnavailableError(address, err)
 }
 
-// lostError is a call that got no answer.
-type lostError struct {
+// unavailableError is the error of a call that got no response. Its chain holds both
+// an *apierr.Error and the cause.
+type unavailableError struct {
 	typed *apierr.Error
 	cause error
 }
 
-func (e *lostError) Error() string   { return e.typed.Error() }
-func (e *lostError) Unwrap() []error { return []error{e.typed, e.cause} }
+func (e *unavailableError) Error() string   { return e.typed.Error() }
+func (e *unavailableError) Unwrap() []error { return []error{e.typed, e.cause} }
 
-func unreachable(address string, cause error) error {
+func newUnavailableError(address string, cause error) error {
 	message := fmt.Sprintf("peer %s was not reached: %v", address, cause)
 	typed := apierr.New(apierr.Unavailable, message, "check the network between the hosts; the call may be made again")
-	return &lostError{typed: typed, cause: cause}
+	return &unavailableError{typed: typed, cause: cause}
 }
 
-func notSent(address string, cause error) error {
-	return unreachable(address, errors.Join(ErrNotSent, cause))
+func newNotSentError(address string, cause error) error {
+	return newUnavailableError(address, errors.Join(ErrNotSent, cause))
 }
 
-// acquire returns the address's connection, dialling it if there is none.
-// Callers that arrive during a dial share it.
-func (p *Pool) acquire(ctx context.Context, address string) (*link, error) {
+// acquire returns the connection to address and dials it if there is none. Concurrent
+// callers share one dial. The caller must release the connection.
+func (p *Pool) acquire(ctx context.Context, address string) (*pooledConn, error) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		return nil, notSent(address, net.ErrClosed)
+		return nil, newNotSentError(address, net.ErrClosed)
 	}
-	l := p.links[address]
-	if l == nil {
-		l = &link{ready: make(chan struct{})}
-		p.links[address] = l
-		go p.dial(address, l)
+	pc := p.conns[address]
+	if pc == nil {
+		pc = &pooledConn{ready: make(chan struct{})}
+		p.conns[address] = pc
+		go p.dial(address, pc)
 	}
-	l.calls++
+	pc.inFlight++
 	p.mu.Unlock()
 	select {
-	case <-l.ready:
+	case <-pc.ready:
 	case <-ctx.Done():
-		p.release(l)
-		return nil, notSent(address, ctx.Err())
+		p.release(pc)
+		return nil, newNotSentError(address, ctx.Err())
 	}
-	if l.err != nil {
-		p.release(l)
-		return nil, notSent(address, l.err)
+	if pc.err != nil {
+		p.release(pc)
+		return nil, newNotSentError(address, pc.err)
 	}
-	return l, nil
+	return pc, nil
 }
 
-func (p *Pool) dial(address string, l *link) {
+func (p *Pool) dial(address string, pc *pooledConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.opts.Timeout)
 	defer cancel()
 	conn, err := p.connect(ctx, address)
 	if err == nil {
 		conn = countedconn.New(conn, p.opts.Metrics, "cyclamentray_peer_bytes_total")
-		onBroken := func() { p.retire(address, l) }
-		l.client = rpc.NewClientWithCodec(&clientCodec{stream: newStream(conn), onBroken: onBroken})
+		onFailure := func() { p.retire(address, pc) }
+		pc.client = rpc.NewClientWithCodec(&clientCodec{stream: newStream(conn), onFailure: onFailure})
 	} else {
-		p.retire(address, l)
+		p.retire(address, pc)
 	}
-	l.err = err
-	close(l.ready)
+	pc.err = err
+	close(pc.ready)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeIfUnused(l)
+	p.closeIfUnused(pc)
 }
 
 func (p *Pool) connect(ctx context.Context, address string) (net.Conn, error) {
@@ -187,50 +191,51 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// retire keeps new calls off a connection.
-func (p *Pool) retire(address string, l *link) {
+// retire removes a connection from the pool, so that it takes no new calls.
+func (p *Pool) retire(address string, pc *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.links[address] == l {
-		delete(p.links, address)
+	if p.conns[address] == pc {
+		delete(p.conns, address)
 	}
-	l.retired = true
-	p.closeIfUnused(l)
+	pc.retired = true
+	p.closeIfUnused(pc)
 }
 
-func (p *Pool) release(l *link) {
+func (p *Pool) release(pc *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.calls--
-	p.closeIfUnused(l)
+	pc.inFlight--
+	p.closeIfUnused(pc)
 }
 
-// closeIfUnused closes a retired connection without calls. The caller holds mu.
-func (p *Pool) closeIfUnused(l *link) {
-	if !l.retired || l.calls > 0 {
+// closeIfUnused closes a retired connection that has no calls in flight. The caller
+// holds mu.
+func (p *Pool) closeIfUnused(pc *pooledConn) {
+	if !pc.retired || pc.inFlight > 0 {
 		return
 	}
 	select {
-	case <-l.ready:
-		if l.client != nil {
-			go l.client.Close()
+	case <-pc.ready:
+		if pc.client != nil {
+			go pc.client.Close()
 		}
-	default: // the dial ends by calling this again
+	default: // still dialling; dial calls closeIfUnused when it has ended
 	}
 }
 
-// Close closes every connection. Calls in progress fail.
+// Close closes every connection. Calls in flight and later ones fail.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for address, l := range p.links {
-		delete(p.links, address)
-		l.retired = true
+	for address, pc := range p.conns {
+		delete(p.conns, address)
+		pc.retired = true
 		select {
-		case <-l.ready:
-			if l.client != nil {
-				go l.client.Close()
+		case <-pc.ready:
+			if pc.client != nil {
+				go pc.client.Close()
 			}
 		default:
 		}
@@ -238,7 +243,7 @@
 	return nil
 }
 
-func (p *Pool) count(method string, err error) {
+func (p *Pool) countCall(method string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = "error"
--- a/peer/server.go
+++ b/peer/server.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamentray/cyclamentray/internal/countedconn"
 )
 
-// Server serves net/rpc calls of other entry hosts. It is safe for concurrent use.
+// Server serves net/rpc calls from other entry hosts. It is safe for concurrent use.
 type Server struct {
 	opts Options
 	rpc  *rpc.Server
@@ -23,7 +23,7 @@
 	serving   sync.WaitGroup
 }
 
-// NewServer returns a server with no services.
+// NewServer returns a Server without services.
 func NewServer(opts Options) *Server {
 	return &Server{
 		opts:      opts.withDefaults(),
@@ -33,10 +33,10 @@
 	}
 }
 
-// Register publishes rcvr's methods under name, a noun such as "Config".
+// Register serves rcvr's methods under the service name, such as "Config".
 func (s *Server) Register(name string, rcvr any) error { return s.rpc.RegisterName(name, rcvr) }
 
-// Serve accepts connections until Close. It returns nil after Close.
+// Serve accepts connections on l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.addListener(l) {
 		return l.Close()
@@ -94,8 +94,8 @@
 	delete(s.conns, conn)
 }
 
-// Close stops accepting, closes every connection and waits for calls in
-// progress to return.
+// Close closes the listeners and every connection, and waits for calls in progress to
+// return.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
