--- a/membership/membership.go
+++ b/membership/membership.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	nearInterval     = time.Second      // between heartbeats within a failure domain
-	farInterval      = 10 * time.Second // between heartbeats across failure domains
-	tickInterval     = 250 * time.Millisecond
-	publishInterval  = time.Second // of a view in which only time has passed
-	listInterval     = 3 * time.Second
-	listTimeout      = 2 * time.Second
-	listWatchTimeout = 15 * time.Second
-	heartbeatTimeout = time.Second
+	localHeartbeatInterval  = time.Second      // between heartbeats within a failure domain
+	remoteHeartbeatInterval = 10 * time.Second // between heartbeats across failure domains
+	tickInterval            = 250 * time.Millisecond
+	publishInterval         = time.Second // between views when nothing but time has changed
+	listPollInterval        = 3 * time.Second
+	listReadTimeout         = 2 * time.Second
+	listWatchTimeout        = 15 * time.Second
+	heartbeatTimeout        = time.Second
 )
 
-// Status is what an entry host says of its state, for operators and for the
-// choice of peers.
+// Status is the state that an entry host reports in its heartbeats, for operators and
+// for choosing peers.
 type Status struct {
-	Revision     uint64        // of its configuration
-	RevisionAge  time.Duration // since the platform confirmed it, when sent
+	Revision     uint64        // of the configuration in force
+	RevisionAge  time.Duration // time since the platform confirmed the revision, at sending
 	Term         uint64        // fencing term; 0: the host schedules nothing
-	PlatformDown bool          // the host does not reach the platform by itself
-	At           time.Time     `json:"-"` // local time of its arrival
+	PlatformDown bool          // the host cannot reach the platform directly
+	At           time.Time     `json:"-"` // local time at which the status was received
 }
 
-// Beat is a heartbeat, and the answer to one.
+// Beat is a heartbeat message or the reply to one.
 type Beat struct {
 	Host        kvstore.Host
 	Incarnation string
@@ -50,8 +50,8 @@
 	Incarnation string // changes when the process restarts
 	Lister      kvstore.HostLister
 	Peers       peer.Caller
-	Seeds       []string      // peer addresses to ask while no list was read
-	Status      func() Status // nil: empty
+	Seeds       []string      // peer addresses to ask until a host list has been read
+	Status      func() Status // this host's status; nil: the zero Status
 	Now         func() time.Time
 	Logger      *log.Logger
 	Metrics     *metrics.Set
@@ -67,24 +67,25 @@
 	return o
 }
 
-// Membership keeps the view of one entry host. It is safe for concurrent use.
+// Membership maintains one entry host's view. It is safe for concurrent use.
 type Membership struct {
 	opts Options
 	view atomic.Pointer[View]
 
-	mu        sync.Mutex
-	table     *table
-	published time.Time
-	draining  bool
-	listed    bool // a list has been read, from the platform or from a peer
-	work      sync.WaitGroup
+	mu         sync.Mutex
+	table      *table
+	published  time.Time
+	draining   bool
+	listed     bool // a host list has been read, from the platform or from a peer
+	goroutines sync.WaitGroup
 }
 
-// New returns a membership that knows only this host; call Run.
+// New returns a Membership whose view holds only this host at first. Call Run to
+// follow the host list.
 func New(opts Options) *Membership {
 	opts = opts.withDefaults()
 	m := &Membership{opts: opts, table: newTable(opts.Self)}
-	m.table.put(opts.Now(), opts.Self)
+	m.table.upsert(opts.Now(), opts.Self)
 	m.view.Store(m.table.view(opts.Now()))
 	return m
 }
@@ -94,7 +95,8 @@
 // View implements Source.
 func (m *Membership) View() *View { return m.view.Load() }
 
-// Statuses returns the last status heard of each entry host, by name.
+// Statuses returns, by name, the last status received from each entry host and this
+// host's own.
 func (m *Membership) Statuses() map[string]Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,51 +110,53 @@
 	return out
 }
 
-// PlatformProxies returns the peer addresses to ask for a platform call, best first:
-// this failure domain's, then the others', without those that said that they do
-// not reach the platform. Before any peer is known they are the seeds.
+// PlatformProxies returns the addresses of peers that can make platform calls for this
+// host, in order of preference: peers in this failure domain come before the others,
+// and peers that reported that they cannot reach the platform are left out. While the
+// view holds no other host, it returns the seeds.
 func (m *Membership) PlatformProxies() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	view := m.view.Load()
-	var near, far []string
+	var local, remote []string
 	for _, h := range view.Peers() {
 		r := m.table.records[h.Name]
 		switch {
 		case r == nil || r.status.PlatformDown:
 		case h.FailureDomain == view.Self.FailureDomain:
-			near = append(near, h.PeerAddress)
+			local = append(local, h.PeerAddress)
 		default:
-			far = append(far, h.PeerAddress)
+			remote = append(remote, h.PeerAddress)
 		}
 	}
 	if len(view.Hosts) <= 1 {
 		return m.opts.Seeds
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// RecordContact tells that a host was seen to answer. It keeps the host in the view
-// although the list lacks it.
+// RecordContact records that a host answered this one directly. This keeps the host in
+// the view for contactValidity even if the host list lacks it.
 func (m *Membership) RecordContact(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.observe(m.opts.Now(), name)
+	m.table.recordContact(m.opts.Now(), name)
 }
 
-// AnnounceDrain makes this host tell its peers that it leaves.
+// AnnounceDrain marks this host as draining and sends its peers a heartbeat that says
+// so at the next tick.
 func (m *Membership) AnnounceDrain() {
 	m.mu.Lock()
 	m.draining = true
 	for _, r := range m.table.records {
-		r.untold = true
+		r.heartbeatDue = true
 	}
 	m.mu.Unlock()
 }
 
-// Run reads the list and exchanges heartbeats until ctx ends. It returns nil.
+// Run follows the host list and exchanges heartbeats until ctx ends. It returns nil.
 func (m *Membership) Run(ctx context.Context) error {
-	m.work.Go(func() { m.readLists(ctx) })
+	m.goroutines.Go(func() { m.followList(ctx) })
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
@@ -162,24 +166,24 @@
 		case <-ctx.Done():
 		}
 	}
-	m.work.Wait()
+	m.goroutines.Wait()
 	return nil
 }
 
 func (m *Membership) tick(ctx context.Context) {
 	m.mu.Lock()
 	now := m.opts.Now()
-	due := m.table.due(now)
+	due := m.table.takeDuePeers(now)
 	if now.Sub(m.published) >= publishInterval {
 		m.publish()
 	}
 	m.mu.Unlock()
 	for _, h := range due {
-		m.work.Go(func() { m.beat(ctx, h.PeerAddress) })
+		m.goroutines.Go(func() { m.exchangeHeartbeats(ctx, h.PeerAddress) })
 	}
 }
 
-// publish makes the table's view the present one. The caller holds mu.
+// publish replaces the current view by the table's. The caller holds mu.
 func (m *Membership) publish() {
 	m.published = m.opts.Now()
 	v := m.table.view(m.published)
@@ -188,35 +192,36 @@
 	m.opts.Metrics.GetOrCreateGauge("cyclamentray_membership_silent_peers", nil).Set(float64(len(v.Silent)))
 }
 
-func (m *Membership) self() Beat {
+func (m *Membership) ownHeartbeat() Beat {
 	m.mu.Lock()
 	draining := m.draining
 	m.mu.Unlock()
 	return Beat{Host: m.opts.Self, Incarnation: m.opts.Incarnation, Draining: draining, Status: m.opts.Status()}
 }
 
-func (m *Membership) beat(ctx context.Context, address string) {
+func (m *Membership) exchangeHeartbeats(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply Beat
-	if err := m.opts.Peers.Call(ctx, address, "Membership.Beat", m.self(), &reply); err != nil {
+	if err := m.opts.Peers.Call(ctx, address, "Membership.Beat", m.ownHeartbeat(), &reply); err != nil {
 		m.opts.Metrics.GetOrCreateCounter("cyclamentray_membership_heartbeat_failures_total").Inc()
 		return
 	}
-	m.heard(reply)
+	m.recordHeartbeat(reply)
 }
 
-func (m *Membership) heard(b Beat) {
+func (m *Membership) recordHeartbeat(b Beat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.table.applyBeat(m.opts.Now(), b) {
+	if m.table.applyHeartbeat(m.opts.Now(), b) {
 		m.publish()
 	}
 }
 
-// readLists reads the list again and again. A list that can be watched is sent
-// only when it changed, which matters at a thousand hosts.
-func (m *Membership) readLists(ctx context.Context) {
+// followList keeps the table up to date with the host list until ctx ends. It watches
+// the list if the lister can, since a watched list is sent only when it has changed,
+// which matters at 1000 hosts; otherwise it polls.
+func (m *Membership) followList(ctx context.Context) {
 	watcher, watches := m.opts.Lister.(kvstore.HostWatcher)
 	var index uint64
 	for ctx.Err() == nil {
@@ -227,13 +232,13 @@
 			index, err = m.readList(ctx, watcher)
 		}
 		if err != nil || !watches {
-			pause.For(ctx, listInterval)
+			pause.For(ctx, listPollInterval)
 		}
 	}
 }
 
-// watchList waits for a change of the list. An unchanged list counts as read
-// once more.
+// watchList waits for a change of the host list and returns the index to watch from
+// next. If the list is unchanged, it counts as one more read of the same list.
 func (m *Membership) watchList(ctx context.Context, watcher kvstore.HostWatcher, index uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, listWatchTimeout)
 	defer cancel()
@@ -244,13 +249,13 @@
 	if hosts != nil {
 		m.applyList(hosts)
 	} else {
-		m.repeatList()
+		m.confirmList()
 	}
 	return next, nil
 }
 
 func (m *Membership) readList(ctx context.Context, watcher kvstore.HostWatcher) (index uint64, err error) {
-	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
 	var hosts []kvstore.Host
 	if watcher != nil {
@@ -265,24 +270,26 @@
 	return index, nil
 }
 
+// listFailed counts a failed read of the host list and returns err. If no list has
+// been read yet, it asks the seeds for theirs.
 func (m *Membership) listFailed(ctx context.Context, err error) error {
 	m.opts.Metrics.GetOrCreateCounter("cyclamentray_membership_list_failures_total").Inc()
 	m.mu.Lock()
 	listed := m.listed
 	m.mu.Unlock()
 	if !listed {
-		m.askSeeds(ctx)
+		m.readListFromSeeds(ctx)
 	}
 	return err
 }
 
-// askSeeds takes over a peer's view: a host that boots while the platform is
-// away has nothing else to start from.
-func (m *Membership) askSeeds(ctx context.Context) {
+// readListFromSeeds copies the view of the first seed that answers with one. A host
+// that boots during a platform outage has no other source of hosts.
+func (m *Membership) readListFromSeeds(ctx context.Context) {
 	for _, address := range m.opts.Seeds {
 		callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		var hosts []kvstore.Host
-		err := m.opts.Peers.Call(callCtx, address, "Membership.Hosts", m.self(), &hosts)
+		err := m.opts.Peers.Call(callCtx, address, "Membership.Hosts", m.ownHeartbeat(), &hosts)
 		cancel()
 		if err == nil && len(hosts) > 1 {
 			m.applyList(hosts)
@@ -296,42 +303,43 @@
 	defer m.mu.Unlock()
 	m.listed = true
 	m.table.applyList(m.opts.Now(), hosts)
-	m.table.put(m.opts.Now(), m.opts.Self).absentReads = 0
+	m.table.upsert(m.opts.Now(), m.opts.Self).absentReads = 0
 	m.publish()
 }
 
-// HasHostList reports whether a host list was read, from the platform or a peer.
+// HasHostList reports whether a host list has been read, from the platform or from a
+// peer.
 func (m *Membership) HasHostList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listed
 }
 
-func (m *Membership) repeatList() {
+func (m *Membership) confirmList() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.repeatList(m.opts.Now())
+	m.table.confirmList(m.opts.Now())
 	m.publish()
 }
 
-// RegisterPeer publishes the slice's net/rpc service.
+// RegisterPeer registers the net/rpc service Membership with s.
 func (m *Membership) RegisterPeer(s *peer.Server) error {
 	return s.Register("Membership", &service{m: m})
 }
 
-// service answers peers.
+// service is the net/rpc service that peers call.
 type service struct{ m *Membership }
 
-// Beat exchanges heartbeats.
+// Beat records the caller's heartbeat and replies with this host's.
 func (s *service) Beat(b Beat, reply *Beat) error {
-	s.m.heard(b)
-	*reply = s.m.self()
+	s.m.recordHeartbeat(b)
+	*reply = s.m.ownHeartbeat()
 	return nil
 }
 
-// Hosts tells a booting peer which hosts there are.
+// Hosts records the heartbeat of a peer that boots and replies with the hosts in view.
 func (s *service) Hosts(b Beat, reply *[]kvstore.Host) error {
-	s.m.heard(b)
+	s.m.recordHeartbeat(b)
 	*reply = s.m.View().Hosts
 	return nil
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -17,7 +17,7 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
-// lister is a host list that can be away.
+// lister is a host list that can be made unavailable.
 type lister struct {
 	down  atomic.Bool
 	hosts atomic.Pointer[[]kvstore.Host]
@@ -34,10 +34,10 @@
 	*membership.Membership
 	self   kvstore.Host
 	server *peer.Server
-	end    func()
+	stop   func()
 }
 
-func start(t *testing.T, name string, l *lister, seeds ...string) *node {
+func startNode(t *testing.T, name string, l *lister, seeds ...string) *node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -50,7 +50,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { must.NoError(t, n.server.Serve(listener)) })
 	running.Go(func() { must.NoError(t, n.Run(ctx)) })
-	n.end = sync.OnceFunc(func() {
+	n.stop = sync.OnceFunc(func() {
 		stop()
 		_ = pool.Close()
 		_ = n.server.Close()
@@ -60,32 +60,32 @@
 }
 
 func (n *node) peers() map[string]bool {
-	out := map[string]bool{} // name to whether it leaves
+	out := map[string]bool{} // whether each peer is leaving, by name
 	for _, h := range n.View().Peers() {
 		out[h.Name] = h.Leaving
 	}
 	return out
 }
 
-func TestHostThatBootsDuringAnOutageLearnsOfItsPeersAndTheyOfIt(t *testing.T) {
+func TestHostBootedDuringAPlatformOutageExchangesMembershipWithPeers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l := &lister{}
 	l.hosts.Store(&[]kvstore.Host{})
-	a := start(t, "a", l)
-	defer a.end()
+	a := startNode(t, "a", l)
+	defer a.stop()
 	l.hosts.Store(&[]kvstore.Host{a.self, {Name: "w1", Kind: kvstore.Worker, FailureDomain: "n1"}})
-	b := start(t, "b", l, a.self.PeerAddress)
-	defer b.end()
-	eventually(t, func() bool { return len(a.View().Hosts) == 3 }) // b, although the list lacks it
+	b := startNode(t, "b", l, a.self.PeerAddress)
+	defer b.stop()
+	eventually(t, func() bool { return len(a.View().Hosts) == 3 }) // b is in the view although the list lacks it
 	l.down.Store(true)
-	c := start(t, "c", l, a.self.PeerAddress)
-	defer c.end()
+	c := startNode(t, "c", l, a.self.PeerAddress)
+	defer c.stop()
 
 	eventually(t, func() bool { return len(c.peers()) == 2 && len(a.peers()) == 2 && len(b.peers()) == 2 })
 	must.Len(t, 1, c.View().Workers("n1"))
 	b.AnnounceDrain()
 	eventually(t, func() bool { return a.peers()["b"] && c.peers()["b"] })
-	b.end()
+	b.stop()
 	eventually(t, func() bool { return a.View().Silent["b"] && c.View().Silent["b"] })
 	must.Eq(t, []string{a.self.PeerAddress}, c.PlatformProxies())
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// silentAfter is how long an entry host may be unheard before it is silent.
-	silentAfter = 3 * time.Second
-	// absentGrace and absentReads are how long, and in how many reads of the
-	// list in a row, a host must be absent before it is gone.
-	absentGrace = 10 * time.Second
-	absentReads = 2
-	// massGrace applies instead when a list lacks many hosts at once, which is
-	// more often a fault of the list than of the hosts.
-	massGrace = 2 * time.Hour
-	// massShare and massFloor define "many": more than a quarter of a failure
-	// domain's hosts, or of those of one kind, and more than two.
-	massShare = 4
-	massFloor = 2
-	// firstHandAge is how long it counts that a host was heard first-hand.
-	firstHandAge = 15 * time.Second
+	// silenceTimeout is how long after the last contact an entry host counts as silent.
+	silenceTimeout = 3 * time.Second
+	// absentGrace and minAbsentReads are for how long, and in how many consecutive reads
+	// of the host list, a host must be absent before it is evicted from the view.
+	absentGrace    = 10 * time.Second
+	minAbsentReads = 2
+	// massAbsenceGrace replaces absentGrace when the list lacks many hosts at once, which
+	// is more often a fault of the list than of the hosts.
+	massAbsenceGrace = 2 * time.Hour
+	// massAbsenceDivisor and massAbsenceFloor define "many": more than 1/4 of a failure
+	// domain's hosts, or of its hosts of one kind, and more than 2.
+	massAbsenceDivisor = 4
+	massAbsenceFloor   = 2
+	// contactValidity is how long after its last direct contact a host is not evicted.
+	contactValidity = 15 * time.Second
 )
 
-// record is what is known of one host. Times are zero when it never happened.
+// record is the state kept of one host. A time is zero if the event never happened.
 type record struct {
-	host        kvstore.Host
-	incarnation string
-	draining    bool      // the host itself said that it leaves
-	heard       time.Time // last answer or message from it
-	tried       time.Time // last heartbeat sent to it
-	untold      bool      // this host has news, so the next heartbeat is due at once
-	added       time.Time
-	absentSince time.Time // first list read in a row that lacked it
-	absentReads int
-	status      Status
-}
-
-// table is the state of membership. It is not safe for concurrent use.
+	host              kvstore.Host
+	incarnation       string
+	draining          bool      // the host itself reported that it drains
+	lastContact       time.Time // last message or reply from the host
+	lastHeartbeatSent time.Time // last heartbeat sent to the host
+	heartbeatDue      bool      // this host's state has changed, so a heartbeat is due at the next tick
+	addedAt           time.Time
+	absentSince       time.Time // first of the consecutive list reads that lacked the host
+	absentReads       int       // consecutive list reads that lacked the host
+	status            Status
+}
+
+// table holds the records of all known hosts. It is not safe for concurrent use.
 type table struct {
 	self    kvstore.Host
 	records map[string]*record
@@ -51,13 +51,13 @@
 	return &table{self: self, records: make(map[string]*record)}
 }
 
-// applyList takes in a successful read of the list. Hosts that it lacks are
-// only marked; gone decides later.
+// applyList applies a successful read of the host list. Hosts that the list lacks are
+// only marked as absent; evicted decides whether they leave the view.
 func (t *table) applyList(now time.Time, hosts []kvstore.Host) {
 	listed := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		listed[h.Name] = true
-		t.put(now, h)
+		t.upsert(now, h)
 	}
 	for name, r := range t.records {
 		switch {
@@ -69,71 +69,71 @@
 			r.absentReads++
 		}
 	}
-	t.forget(now)
+	t.deleteLongAbsent(now)
 }
 
-// repeatList takes in that the list is still as last read.
-func (t *table) repeatList(now time.Time) {
+// confirmList applies a read that returned the same list as the last one.
+func (t *table) confirmList(now time.Time) {
 	for _, r := range t.records {
 		if r.absentReads > 0 {
 			r.absentReads++
 		}
 	}
-	t.forget(now)
+	t.deleteLongAbsent(now)
 }
 
-func (t *table) put(now time.Time, h kvstore.Host) *record {
+func (t *table) upsert(now time.Time, h kvstore.Host) *record {
 	r := t.records[h.Name]
 	if r == nil {
-		r = &record{added: now}
+		r = &record{addedAt: now}
 		t.records[h.Name] = r
 	}
 	r.host = h
 	return r
 }
 
-// applyBeat takes in what an entry host said of itself, in a heartbeat or in
-// the answer to one. It outranks the list. It reports whether the view changes.
-func (t *table) applyBeat(now time.Time, b Beat) (changed bool) {
+// applyHeartbeat applies a heartbeat or the reply to one. What an entry host reports of
+// itself takes precedence over the list. It returns whether the view changes.
+func (t *table) applyHeartbeat(now time.Time, b Beat) (changed bool) {
 	if b.Host.Name == "" || b.Host.Name == t.self.Name {
 		return false
 	}
 	r := t.records[b.Host.Name]
 	changed = r == nil || r.incarnation != b.Incarnation || r.draining != b.Draining || r.silent(now, t.self)
 	if r == nil || r.incarnation != b.Incarnation {
-		r = t.put(now, b.Host)
+		r = t.upsert(now, b.Host)
 		r.incarnation = b.Incarnation
 		r.draining = false
 	}
 	r.draining = r.draining || b.Draining
-	r.heard = now
+	r.lastContact = now
 	r.status = b.Status
 	r.status.At = now
 	return changed
 }
 
-// observe takes in that a host answered first-hand.
-func (t *table) observe(now time.Time, name string) {
+// recordContact records that a known host answered this one directly.
+func (t *table) recordContact(now time.Time, name string) {
 	if r := t.records[name]; r != nil {
-		r.heard = now
+		r.lastContact = now
 	}
 }
 
-// due returns the entry hosts to send a heartbeat to, ordered by name, and
-// marks them as tried. A host that was heard within its interval needs none,
-// so of each pair only one side sends.
-func (t *table) due(now time.Time) []kvstore.Host {
+// takeDuePeers returns the entry hosts to which a heartbeat is due, ordered by name, and
+// records it as sent. No heartbeat is due to a host from which one arrived within the
+// interval, so that only one side of each pair sends.
+func (t *table) takeDuePeers(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
 	for _, r := range t.records {
 		if r.host.Kind != kvstore.EntryHost || r.host.Name == t.self.Name {
 			continue
 		}
-		interval := farInterval
+		interval := remoteHeartbeatInterval
 		if r.host.FailureDomain == t.self.FailureDomain {
-			interval = nearInterval
+			interval = localHeartbeatInterval
 		}
-		if r.untold || now.Sub(r.heard) >= interval && now.Sub(r.tried) >= interval {
-			r.tried, r.untold = now, false
+		if r.heartbeatDue || now.Sub(r.lastContact) >= interval && now.Sub(r.lastHeartbeatSent) >= interval {
+			r.lastHeartbeatSent, r.heartbeatDue = now, false
 			out = append(out, r.host)
 		}
 	}
@@ -145,71 +145,74 @@
 	slices.SortFunc(hosts, func(a, b kvstore.Host) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// forget drops records that have been gone for long.
-func (t *table) forget(now time.Time) {
+// deleteLongAbsent deletes the records of hosts that have been absent from the list and
+// without contact for more than 2 times massAbsenceGrace.
+func (t *table) deleteLongAbsent(now time.Time) {
 	for name, r := range t.records {
-		if r.absentReads >= absentReads && now.Sub(r.absentSince) > 2*massGrace && now.Sub(r.heard) > 2*massGrace {
+		if r.absentReads >= minAbsentReads && now.Sub(r.absentSince) > 2*massAbsenceGrace && now.Sub(r.lastContact) > 2*massAbsenceGrace {
 			delete(t.records, name)
 		}
 	}
 }
 
-// gone reports whether a host is to be left out of the view.
-func (r *record) gone(now time.Time, mass bool) bool {
-	if r.absentReads < absentReads || now.Sub(r.heard) < firstHandAge {
+// evicted reports whether the host is left out of the view. massAbsence says that the
+// list lacks many hosts of its group.
+func (r *record) evicted(now time.Time, massAbsence bool) bool {
+	if r.absentReads < minAbsentReads || now.Sub(r.lastContact) < contactValidity {
 		return false
 	}
 	grace := absentGrace
-	if mass {
-		grace = massGrace
+	if massAbsence {
+		grace = massAbsenceGrace
 	}
 	return now.Sub(r.absentSince) >= grace
 }
 
-// silent reports whether an entry host does not answer heartbeats. One that was
-// never heard counts from when it became known.
+// silent reports whether the host is an entry host that does not answer heartbeats. If
+// it never sent any message, the time counts from when its record was added.
 func (r *record) silent(now time.Time, self kvstore.Host) bool {
 	if r.host.Kind != kvstore.EntryHost || r.host.Name == self.Name {
 		return false
 	}
-	last := r.heard
+	last := r.lastContact
 	if last.IsZero() {
-		last = r.added
+		last = r.addedAt
 	}
-	limit := silentAfter
+	limit := silenceTimeout
 	if r.host.FailureDomain != self.FailureDomain {
-		limit += farInterval
+		limit += remoteHeartbeatInterval
 	}
 	return now.Sub(last) > limit
 }
 
-type group struct {
+// hostGroup is a failure domain's hosts, or those of one kind.
+type hostGroup struct {
 	kind          kvstore.HostKind // empty: every kind
 	failureDomain string
 }
 
-// groups returns the groups that a host counts in.
-func groups(h kvstore.Host) []group {
-	return []group{{h.Kind, h.FailureDomain}, {"", h.FailureDomain}}
+// groupsOf returns the groups to which a host belongs.
+func groupsOf(h kvstore.Host) []hostGroup {
+	return []hostGroup{{h.Kind, h.FailureDomain}, {"", h.FailureDomain}}
 }
 
-// massAbsent returns the groups of hosts of which the list lacks many.
-func (t *table) massAbsent() map[group]bool {
+// massAbsences returns the groups of which the list lacks many hosts.
+func (t *table) massAbsences() map[hostGroup]bool {
 	if !t.anyAbsent() {
 		return nil
 	}
-	known, absent := map[group]int{}, map[group]int{}
+	known, absent := map[hostGroup]int{}, map[hostGroup]int{}
 	for _, r := range t.records {
-		for _, g := range groups(r.host) {
+		for _, g := range groupsOf(r.host) {
 			known[g]++
 			if r.absentReads > 0 {
 				absent[g]++
 			}
 		}
 	}
-	mass := map[group]bool{}
+	mass := map[hostGroup]bool{}
 	for g, n := range absent {
-		mass[g] = n > massFloor && n*massShare > known[g]
+		mass[g] = n > massAbsenceFloor && n*massAbsenceDivisor > known[g]
 	}
 	return mass
 }
@@ -223,8 +226,8 @@
 	return false
 }
 
-func inMass(h kvstore.Host, mass map[group]bool) bool {
-	for _, g := range groups(h) {
+func inMassAbsence(h kvstore.Host, mass map[hostGroup]bool) bool {
+	for _, g := range groupsOf(h) {
 		if mass[g] {
 			return true
 		}
@@ -232,13 +235,13 @@
 	return false
 }
 
-// view publishes what is known at now.
+// view returns the view at now.
 func (t *table) view(now time.Time) *View {
 	v := &View{Self: t.self, Silent: map[string]bool{}, Hosts: make([]kvstore.Host, 0, len(t.records))}
-	mass := t.massAbsent()
+	mass := t.massAbsences()
 	for _, name := range slices.Sorted(maps.Keys(t.records)) {
 		r := t.records[name]
-		if r.absentReads > 0 && r.gone(now, inMass(r.host, mass)) {
+		if r.absentReads > 0 && r.evicted(now, inMassAbsence(r.host, mass)) {
 			continue
 		}
 		h := r.host
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,5 +1,7 @@
-// Package membership tells which hosts there are, from the platform's lagging
-// list, heartbeats between entry hosts, and what was seen first-hand.
+// Package membership maintains an entry host's view of the hosts in the deployment:
+// entry hosts, workers and upstreams. It combines the platform's host list, which
+// lags, with heartbeats between entry hosts and with direct contact. All state is in
+// memory. The packages that choose a host to call read the view.
 package membership
 
 import (
@@ -9,14 +11,14 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// View is the membership at one moment. It is immutable once published.
+// View is a snapshot of the membership. It is immutable once published.
 type View struct {
 	Self   kvstore.Host
-	Hosts  []kvstore.Host  // ordered by name; hosts known to be gone are left out
-	Silent map[string]bool // entry hosts that do not answer heartbeats now
+	Hosts  []kvstore.Host  // ordered by name, without evicted hosts
+	Silent map[string]bool // names of entry hosts that do not answer heartbeats
 }
 
-// Find returns the host of a name.
+// Find returns the host with the given name.
 func (v *View) Find(name string) (kvstore.Host, bool) {
 	i, found := slices.BinarySearchFunc(v.Hosts, name, func(h kvstore.Host, name string) int {
 		return strings.Compare(h.Name, name)
@@ -38,14 +40,14 @@
 	return out
 }
 
-// Workers returns the workers of a failure domain, leaving ones included.
+// Workers returns the workers of a failure domain, including those that are leaving.
 func (v *View) Workers(failureDomain string) []kvstore.Host {
 	return v.Select(func(h kvstore.Host) bool {
 		return h.Kind == kvstore.Worker && h.FailureDomain == failureDomain
 	})
 }
 
-// Upstreams returns the upstreams of a service, leaving ones included.
+// Upstreams returns the upstreams of a service, including those that are leaving.
 func (v *View) Upstreams(service string) []kvstore.Host {
 	return v.Select(func(h kvstore.Host) bool {
 		return h.Kind == kvstore.Upstream && h.Service == service
@@ -59,7 +61,7 @@
 	})
 }
 
-// LocalPeers returns the peers of this host's failure domain.
+// LocalPeers returns the peers in this host's failure domain.
 func (v *View) LocalPeers() []kvstore.Host {
 	var out []kvstore.Host
 	for _, h := range v.Peers() {
@@ -70,7 +72,7 @@
 	return out
 }
 
-// Source gives the present view. It is safe for concurrent use.
+// Source provides the current view. It is safe for concurrent use.
 type Source interface {
 	View() *View // never nil
 }
