--- a/entryhost/badinput_test.go
+++ b/entryhost/badinput_test.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	operator = dev.OperatorToken
-	filer    = "mwambao-mwambao"
-	depot    = "consorcio-playa-kits"
+	operatorToken = dev.OperatorToken
+	filerToken    = "mwambao-mwambao"
+	depotToken    = "consorcio-playa-kits"
 
 	goodJob = `{"id": {"organisation": "mwambao", "service": "levy-filings", "name": "j1"}, "template": "reconcile",
 	  "shape": {"tasks": 1, "acceleratorsPerTask": 8, "adjacency": "rack"}, "declaredRunNanos": 1000000000}`
 )
 
-// deployment boots one entry host a failure domain, with the dev documents in force.
-func deployment(t *testing.T) (url string) {
+// startDeployment starts one entry host per failure domain and applies the documents of
+// package dev. It returns the URL of one of the hosts.
+func startDeployment(t *testing.T) (url string) {
 	size := dev.DefaultSize()
 	size.EntryHosts = 1
 	d, err := dev.Start(t.Context(), dev.Options{
@@ -38,7 +39,7 @@
 	return d.Addresses()[0]
 }
 
-// send returns an answer's status and body.
+// send makes a request and returns the status and body of the response.
 func send(t *testing.T, method, url, token, body string) (int, []byte) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -56,11 +57,11 @@
 
 func jobWith(old, with string) string { return strings.Replace(goodJob, old, with, 1) }
 
-func apply(documents string) string { return `{"documents": [` + documents + `]}` }
+func applyBody(documents string) string { return `{"documents": [` + documents + `]}` }
 
-func TestBadInput_TypedErrorsAndNothingLost(t *testing.T) {
-	url := deployment(t)
-	_, before := send(t, "GET", url+"/v1/config", operator, "")
+func TestBadInput_GetsTypedErrorsAndChangesNothing(t *testing.T) {
+	url := startDeployment(t)
+	_, before := send(t, "GET", url+"/v1/config", operatorToken, "")
 	huge := strings.Repeat(" ", 2<<20)
 	cases := []struct {
 		name, call, token, body string
@@ -68,39 +69,39 @@
 	}{
 		{"no token", "POST /v1/jobs", "", goodJob, apierr.Unauthenticated},
 		{"unknown path without a token", "GET /v1/secrets", "", "", apierr.Unauthenticated},
-		{"malformed job", "POST /v1/jobs", filer, `{"id":`, apierr.InvalidInput},
-		{"empty job", "POST /v1/jobs", filer, ``, apierr.InvalidInput},
-		{"unknown field of a job", "POST /v1/jobs", filer, jobWith(`"template"`, `"tmplate": "x", "template"`), apierr.InvalidInput},
-		{"job as a list", "POST /v1/jobs", filer, `[` + goodJob + `]`, apierr.InvalidInput},
-		{"oversize job", "POST /v1/jobs", filer, huge + goodJob, apierr.TooLarge},
-		{"negative tasks", "POST /v1/jobs", filer, jobWith(`"tasks": 1`, `"tasks": -1`), apierr.InvalidInput},
-		{"no tasks", "POST /v1/jobs", filer, jobWith(`"tasks": 1`, `"tasks": 0`), apierr.InvalidInput},
-		{"overflowing shape", "POST /v1/jobs", filer, jobWith(`"tasks": 1`, `"tasks": 9223372036854775807`), apierr.InvalidInput},
-		{"unknown adjacency", "POST /v1/jobs", filer, jobWith(`"rack"`, `"moon"`), apierr.InvalidInput},
-		{"negative run time", "POST /v1/jobs", filer, jobWith(`1000000000`, `-5`), apierr.InvalidInput},
-		{"larger than its template", "POST /v1/jobs", filer, jobWith(`"tasks": 1`, `"tasks": 64`), apierr.InvalidInput},
-		{"unknown template", "POST /v1/jobs", filer, jobWith(`reconcile`, `x`), apierr.InvalidInput},
-		{"unknown service of a job", "POST /v1/jobs", filer, jobWith(`levy-filings`, `x`), apierr.NotFound},
-		{"unknown organisation", "POST /v1/jobs", operator, jobWith(`mwambao`, `x`), apierr.NotFound},
-		{"another organisation's job", "POST /v1/jobs", depot, goodJob, apierr.Forbidden},
-		{"job of an organisation that does not exist", "POST /v1/jobs", depot, jobWith(`mwambao`, `x`), apierr.Forbidden},
-		{"two jobs in one body", "POST /v1/jobs", filer, goodJob + goodJob, apierr.InvalidInput},
-		{"absent job", "GET /v1/jobs/mwambao/levy-filings/absent", filer, "", apierr.NotFound},
-		{"absent job cancelled", "DELETE /v1/jobs/mwambao/levy-filings/absent", filer, "", apierr.NotFound},
-		{"unknown state", "GET /v1/jobs?state=sleeping", filer, "", apierr.InvalidInput},
-		{"unknown service", "GET /v1/services/x/requests/y", filer, "", apierr.NotFound},
-		{"another organisation's service", "GET /v1/services/levy-filings/requests/y", depot, "", apierr.NotFound},
-		{"malformed edit", "POST /v1/config", operator, `{"documents": [{]}`, apierr.InvalidInput},
-		{"oversize edit", "POST /v1/config", operator, huge, apierr.TooLarge},
-		{"empty edit", "POST /v1/config", operator, apply(``), apierr.InvalidInput},
-		{"absurd shape in a document", "POST /v1/config", operator, apply(`{"kind": "service", "name": "levy-filings", "organisation": "mwambao", "team": "filings",
+		{"malformed job", "POST /v1/jobs", filerToken, `{"id":`, apierr.InvalidInput},
+		{"empty job", "POST /v1/jobs", filerToken, ``, apierr.InvalidInput},
+		{"unknown field of a job", "POST /v1/jobs", filerToken, jobWith(`"template"`, `"tmplate": "x", "template"`), apierr.InvalidInput},
+		{"job as a list", "POST /v1/jobs", filerToken, `[` + goodJob + `]`, apierr.InvalidInput},
+		{"oversize job", "POST /v1/jobs", filerToken, huge + goodJob, apierr.TooLarge},
+		{"negative tasks", "POST /v1/jobs", filerToken, jobWith(`"tasks": 1`, `"tasks": -1`), apierr.InvalidInput},
+		{"no tasks", "POST /v1/jobs", filerToken, jobWith(`"tasks": 1`, `"tasks": 0`), apierr.InvalidInput},
+		{"overflowing shape", "POST /v1/jobs", filerToken, jobWith(`"tasks": 1`, `"tasks": 9223372036854775807`), apierr.InvalidInput},
+		{"unknown adjacency", "POST /v1/jobs", filerToken, jobWith(`"rack"`, `"moon"`), apierr.InvalidInput},
+		{"negative run time", "POST /v1/jobs", filerToken, jobWith(`1000000000`, `-5`), apierr.InvalidInput},
+		{"larger than its template", "POST /v1/jobs", filerToken, jobWith(`"tasks": 1`, `"tasks": 64`), apierr.InvalidInput},
+		{"unknown template", "POST /v1/jobs", filerToken, jobWith(`reconcile`, `x`), apierr.InvalidInput},
+		{"unknown service of a job", "POST /v1/jobs", filerToken, jobWith(`levy-filings`, `x`), apierr.NotFound},
+		{"unknown organisation", "POST /v1/jobs", operatorToken, jobWith(`mwambao`, `x`), apierr.NotFound},
+		{"another organisation's job", "POST /v1/jobs", depotToken, goodJob, apierr.Forbidden},
+		{"job of an organisation that does not exist", "POST /v1/jobs", depotToken, jobWith(`mwambao`, `x`), apierr.Forbidden},
+		{"two jobs in one body", "POST /v1/jobs", filerToken, goodJob + goodJob, apierr.InvalidInput},
+		{"absent job", "GET /v1/jobs/mwambao/levy-filings/absent", filerToken, "", apierr.NotFound},
+		{"absent job cancelled", "DELETE /v1/jobs/mwambao/levy-filings/absent", filerToken, "", apierr.NotFound},
+		{"unknown state", "GET /v1/jobs?state=sleeping", filerToken, "", apierr.InvalidInput},
+		{"unknown service", "GET /v1/services/x/requests/y", filerToken, "", apierr.NotFound},
+		{"another organisation's service", "GET /v1/services/levy-filings/requests/y", depotToken, "", apierr.NotFound},
+		{"malformed edit", "POST /v1/config", operatorToken, `{"documents": [{]}`, apierr.InvalidInput},
+		{"oversize edit", "POST /v1/config", operatorToken, huge, apierr.TooLarge},
+		{"empty edit", "POST /v1/config", operatorToken, applyBody(``), apierr.InvalidInput},
+		{"absurd shape in a document", "POST /v1/config", operatorToken, applyBody(`{"kind": "service", "name": "levy-filings", "organisation": "mwambao", "team": "filings",
 		  "jobs": [{"name": "reconcile", "shape": {"tasks": 65, "acceleratorsPerTask": -8}, "runSeconds": 1}]}`), apierr.InvalidInput},
-		{"document of an unknown organisation", "POST /v1/config", operator, apply(`{"kind": "service", "name": "s", "organisation": "x", "team": "y"}`), apierr.InvalidInput},
-		{"wrong revision", "POST /v1/config", operator, `{"expectedRevision": 99, "documents": [{"kind": "failure-domain", "name": "fd-z", "region": "r"}]}`, apierr.Conflict},
-		{"caller's edit", "POST /v1/config", filer, apply(`{"kind": "failure-domain", "name": "fd-z", "region": "r"}`), apierr.Forbidden},
-		{"caller takes a failure domain out", "POST /v1/failure-domains/fd-a/out", filer, "", apierr.Forbidden},
-		{"unknown failure domain out", "POST /v1/failure-domains/fd-z/out", operator, "", apierr.NotFound},
-		{"unknown service retired", "POST /v1/services/x/retire", operator, "", apierr.NotFound},
+		{"document of an unknown organisation", "POST /v1/config", operatorToken, applyBody(`{"kind": "service", "name": "s", "organisation": "x", "team": "y"}`), apierr.InvalidInput},
+		{"wrong revision", "POST /v1/config", operatorToken, `{"expectedRevision": 99, "documents": [{"kind": "failure-domain", "name": "fd-z", "region": "r"}]}`, apierr.Conflict},
+		{"caller's edit", "POST /v1/config", filerToken, applyBody(`{"kind": "failure-domain", "name": "fd-z", "region": "r"}`), apierr.Forbidden},
+		{"caller takes a failure domain out", "POST /v1/failure-domains/fd-a/out", filerToken, "", apierr.Forbidden},
+		{"unknown failure domain out", "POST /v1/failure-domains/fd-z/out", operatorToken, "", apierr.NotFound},
+		{"unknown service retired", "POST /v1/services/x/retire", operatorToken, "", apierr.NotFound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,26 +115,27 @@
 			}
 		})
 	}
-	_, after := send(t, "GET", url+"/v1/config", operator, "")
-	must.Eq(t, string(before), string(after), must.Sprint("a bad edit changed what is in force"))
-	status, body := send(t, "POST", url+"/v1/jobs", filer, goodJob)
+	_, after := send(t, "GET", url+"/v1/config", operatorToken, "")
+	must.Eq(t, string(before), string(after), must.Sprint("a rejected edit changed the configuration in force"))
+	status, body := send(t, "POST", url+"/v1/jobs", filerToken, goodJob)
 	must.Eq(t, http.StatusOK, status, must.Sprintf("%s", body))
 }
 
-// An organisation must not tell another's job from one that does not exist.
-func TestOrganisations_LearnNothingOfEachOther(t *testing.T) {
-	url := deployment(t)
-	status, body := send(t, "POST", url+"/v1/jobs", filer, goodJob)
+// Guards against replies from which an organisation can tell whether another
+// organisation's job exists: they must equal the replies for an absent job.
+func TestOrganisations_CannotProbeEachOthersJobs(t *testing.T) {
+	url := startDeployment(t)
+	status, body := send(t, "POST", url+"/v1/jobs", filerToken, goodJob)
 	must.Eq(t, http.StatusOK, status, must.Sprintf("%s", body))
 	const theirs, absent = "/v1/jobs/mwambao/levy-filings/j1", "/v1/jobs/mwambao/levy-filings/j2"
 	for _, call := range []struct{ method, suffix string }{{"GET", ""}, {"GET", "/explain"}, {"DELETE", ""}} {
-		status, body := send(t, call.method, url+theirs+call.suffix, depot, "")
-		_, missing := send(t, call.method, url+absent+call.suffix, depot, "")
+		status, body := send(t, call.method, url+theirs+call.suffix, depotToken, "")
+		_, missing := send(t, call.method, url+absent+call.suffix, depotToken, "")
 		must.Eq(t, http.StatusNotFound, status)
 		must.Eq(t, strings.ReplaceAll(string(missing), "j2", "j1"), string(body))
 	}
-	_, list := send(t, "GET", url+"/v1/jobs", depot, "")
+	_, list := send(t, "GET", url+"/v1/jobs", depotToken, "")
 	must.StrNotContains(t, string(list), "j1")
-	_, own := send(t, "GET", url+theirs, filer, "")
+	_, own := send(t, "GET", url+theirs, filerToken, "")
 	must.StrNotContains(t, string(own), `"cancelBy"`)
 }
--- a/entryhost/entryhost.go
+++ b/entryhost/entryhost.go
@@ -1,6 +1,9 @@
-// Package entryhost wires the slices into one entry host: it serves callers
-// and operators over HTTP and other entry hosts over net/rpc, and drains
-// without cutting off a request.
+// Package entryhost builds one entry host from its components and runs it. The host
+// serves callers and operators over HTTP and other entry hosts over net/rpc, and on
+// shutdown it drains without interrupting a request. The package keeps the listeners,
+// the TLS keys and whether the host is ready; all other state belongs to the
+// components. The entry host's command, and the development deployment, create and
+// run a Host.
 package entryhost
 
 import (
@@ -26,31 +29,32 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	readTimeout       = time.Minute // of a whole request, its body included
+	readTimeout       = time.Minute // of a whole request, including its body
 	idleTimeout       = 2 * time.Minute
 )
 
-// Options are what an entry host needs.
+// Options configures a Host.
 type Options struct {
 	Settings *settings.Settings
-	HTTP     net.Listener // nil: Settings.Listen.HTTP is listened on
-	Peer     net.Listener // nil: Settings.Listen.Peer is listened on
+	HTTP     net.Listener // nil: New listens on Settings.Listen.HTTP
+	Peer     net.Listener // nil: New listens on Settings.Listen.Peer
 	Logger   *log.Logger  // nil: logs to standard error
-	Metrics  *metrics.Set // nil: a set of its own
+	Metrics  *metrics.Set // nil: a new set
 	Now      func() time.Time
 }
 
-// Host is one entry host. Run serves until its context ends and then drains.
+// Host is one entry host.
 type Host struct {
-	opts   Options
-	log    *log.Logger
-	keys   keys
-	slices *slices
-	server *http.Server
-	ready  atomic.Bool
+	opts       Options
+	log        *log.Logger
+	keys       listenerKeys
+	components *components
+	server     *http.Server
+	ready      atomic.Bool
 }
 
-// New wires an entry host; it listens and acts only once Run is called.
+// New opens the listeners and builds an entry host. The host serves and acts only
+// once Run is called.
 func New(o Options) (*Host, error) {
 	o.Now = defaults.Now(o.Now)
 	o.Metrics = defaults.Metrics(o.Metrics)
@@ -64,11 +68,11 @@
 	if err := h.loadKeys(); err != nil {
 		return nil, err
 	}
-	built, err := newSlices(h)
+	built, err := newComponents(h)
 	if err != nil {
 		return nil, err
 	}
-	h.slices = built
+	h.components = built
 	h.server = &http.Server{
 		Handler:           h.handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -84,7 +88,7 @@
 // PeerAddress returns the IP:port of the net/rpc listener.
 func (h *Host) PeerAddress() string { return h.opts.Peer.Addr().String() }
 
-// Self returns this host's line of the host list.
+// Self returns this host's entry in the host list.
 func (h *Host) Self() kvstore.Host { return h.opts.Settings.Self() }
 
 func (h *Host) listen() error {
@@ -104,14 +108,14 @@
 	return nil
 }
 
-// Run serves until ctx ends, then drains: it reports not ready, hands over the
-// term, and serves on until the balancer has seen it and every request in
-// flight is answered.
+// Run serves until ctx ends and then drains: it reports that it is not ready, resigns
+// its term, and keeps serving until the load balancer has had time to notice and every
+// request in flight has been answered. It also returns when a component fails.
 func (h *Host) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, background := errgroup.WithContext(background)
-	h.slices.run(background, group)
+	h.components.run(background, group)
 	for _, k := range []*auth.Keys{h.keys.http, h.keys.peer} {
 		if k != nil {
 			group.Go(func() error { return k.Run(background) })
@@ -127,7 +131,7 @@
 	case <-background.Done():
 	}
 	stop()
-	h.close()
+	h.closeConnections()
 	return group.Wait()
 }
 
@@ -144,42 +148,44 @@
 }
 
 func (h *Host) servePeers() error {
-	return errors.Wrap(h.slices.peerServer.Serve(h.opts.Peer), "serving entry hosts")
+	return errors.Wrap(h.components.peerServer.Serve(h.opts.Peer), "serving entry hosts")
 }
 
-// drain leaves in an order that cuts off nothing: others take over first.
+// drain stops the host's work in an order that interrupts no request: it announces the
+// drain to the peers and resigns the term, so that other hosts take over, and then waits
+// for the requests in flight.
 func (h *Host) drain() {
 	timing := h.opts.Settings.Timing
 	h.ready.Store(false)
 	h.log.Info("draining", "wait", timing.DrainWait(), "limit", timing.DrainTimeout())
-	h.slices.membership.AnnounceDrain()
+	h.components.membership.AnnounceDrain()
 	ctx, cancel := context.WithTimeout(context.Background(), timing.DrainWait()+timing.DrainTimeout())
 	defer cancel()
-	if err := h.slices.election.Resign(ctx); err != nil {
-		h.log.Warn("term not handed over; it lapses by itself", "err", err)
+	if err := h.components.election.Resign(ctx); err != nil {
+		h.log.Warn("failed to revoke the scheduler's lease; it expires after its TTL", "err", err)
 	}
-	if err := h.slices.router.Drain(ctx); err != nil {
-		h.log.Error("requests were still in flight at the limit", "err", err)
+	if err := h.components.router.Drain(ctx); err != nil {
+		h.log.Error("drain timed out with requests still in flight", "err", err)
 	}
 	if err := h.server.Shutdown(ctx); err != nil {
-		h.log.Error("connections were still busy at the limit", "err", err)
+		h.log.Error("drain timed out with connections still busy", "err", err)
 	}
 	h.log.Info("drained")
 }
 
-func (h *Host) close() {
+func (h *Host) closeConnections() {
 	_ = h.server.Close()
-	_ = h.slices.peerServer.Close()
-	_ = h.slices.peers.Close()
+	_ = h.components.peerServer.Close()
+	_ = h.components.peers.Close()
 }
 
-// newIncarnation returns a text that differs each time a host starts.
+// newIncarnation returns an identifier that differs for each start of the process.
 func newIncarnation(now time.Time) string {
 	return strconv.FormatInt(now.UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid())
 }
 
 // Revision returns the configuration revision in force on this host.
 func (h *Host) Revision() uint64 {
-	snap, _ := h.slices.config.Current()
+	snap, _ := h.components.config.Current()
 	return snap.Revision
 }
--- a/entryhost/handler.go
+++ b/entryhost/handler.go
@@ -14,16 +14,16 @@
 	pathMetrics = "/metrics"
 )
 
-// handler builds the whole HTTP interface of the host.
+// handler returns the handler of the host's whole HTTP API.
 func (h *Host) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathHealth, h.serveHealth)
 	mux.HandleFunc("GET "+pathReady, h.serveReady)
 	mux.HandleFunc("GET "+pathMetrics, h.serveMetrics)
-	h.registerOperators(mux)
-	h.slices.router.Register(mux)
-	h.slices.intake.Register(mux)
-	authenticated := h.slices.auth.Middleware(mux)
+	h.registerOperatorAPI(mux)
+	h.components.router.Register(mux)
+	h.components.intake.Register(mux)
+	authenticated := h.components.auth.Middleware(mux)
 	return telemetry.Middleware(h.opts.Settings.Host.Name, h.opts.Metrics, h.opts.Now, authenticated)
 }
 
@@ -31,7 +31,7 @@
 	httpjson.Write(w, http.StatusOK, map[string]bool{"live": true})
 }
 
-// serveReady tells the balancer whether to send work here.
+// serveReady serves the readiness probe of the load balancer.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if err := h.Ready(); err != nil {
 		httpjson.WriteError(w, err)
@@ -40,16 +40,16 @@
 	httpjson.Write(w, http.StatusOK, map[string]bool{"ready": true})
 }
 
-// Ready returns nil when the host can take work: it is not draining, and knows
-// a configuration and the host list. The error is an *apierr.Error.
+// Ready returns nil if the host can take work: it is not draining and has a
+// configuration and a host list. The error is an *apierr.Error.
 func (h *Host) Ready() error {
-	snap, _ := h.slices.config.Current()
+	snap, _ := h.components.config.Current()
 	switch {
 	case !h.ready.Load():
 		return apierr.New(apierr.Unavailable, "the host is draining", "use another entry host")
 	case snap.Revision == 0:
 		return apierr.New(apierr.Unavailable, "the host has no configuration yet", "wait until it reaches the platform or a peer")
-	case !h.slices.membership.HasHostList():
+	case !h.components.membership.HasHostList():
 		return apierr.New(apierr.Unavailable, "the host has no host list yet", "wait until it reaches the platform or a peer")
 	}
 	return nil
--- a/entryhost/keys.go
+++ b/entryhost/keys.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/settings"
 )
 
-// keys are the TLS keys of both listeners; nil where a listener is plain.
-type keys struct {
+// listenerKeys holds the TLS keys of each listener; nil if the listener uses no TLS.
+type listenerKeys struct {
 	http *auth.Keys
 	peer *auth.Keys
 }
@@ -41,7 +41,8 @@
 	}
 }
 
-// peerTLS returns the configuration of connections between entry hosts; nil: plain TCP.
+// peerTLS returns the TLS configuration of connections between entry hosts, or nil for
+// plain TCP.
 func (h *Host) peerTLS() *tls.Config {
 	if h.keys.peer == nil {
 		return nil
--- a/entryhost/operators.go
+++ b/entryhost/operators.go
@@ -10,14 +10,14 @@
 	"github.com/cyclamentray/cyclamentray/internal/httpjson"
 )
 
-// registerOperators adds the calls that only operators may make.
-func (h *Host) registerOperators(mux *http.ServeMux) {
+// registerOperatorAPI registers the calls that only operators may make.
+func (h *Host) registerOperatorAPI(mux *http.ServeMux) {
 	calls := map[string]func(w http.ResponseWriter, r *http.Request) error{
 		"GET /v1/config":                      h.showConfig,
 		"POST /v1/config":                     h.applyConfig,
 		"POST /v1/services/{service}/retire":  h.retireService,
-		"POST /v1/failure-domains/{name}/out": h.takeOut,
-		"POST /v1/failure-domains/{name}/in":  h.bringIn,
+		"POST /v1/failure-domains/{name}/out": h.takeFailureDomainOut,
+		"POST /v1/failure-domains/{name}/in":  h.bringFailureDomainIn,
 		"GET /v1/top":                         h.showTop,
 	}
 	for pattern, call := range calls {
@@ -25,6 +25,8 @@
 	}
 }
 
+// operatorsOnly returns a handler that refuses callers other than operators and writes
+// the error of call, if any, as the response.
 func operatorsOnly(call func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		err := auth.RequireOperator(r.Context())
@@ -38,7 +40,7 @@
 }
 
 func (h *Host) showConfig(w http.ResponseWriter, _ *http.Request) error {
-	snap, _ := h.slices.config.Current()
+	snap, _ := h.components.config.Current()
 	httpjson.Write(w, http.StatusOK, api.ConfigReply{Revision: snap.Revision, Documents: snap.Documents(), Retired: snap.Retired})
 	return nil
 }
@@ -55,14 +57,15 @@
 	}
 	expected := req.Expected
 	if expected == 0 {
-		snap, _ := h.slices.config.Current()
+		snap, _ := h.components.config.Current()
 		expected = snap.Revision
 	}
-	revision, err := h.slices.editor.Apply(r.Context(), docs, expected)
-	return answerEdit(w, revision, err)
+	revision, err := h.components.editor.Apply(r.Context(), docs, expected)
+	return writeEditReply(w, revision, err)
 }
 
-// parseDocuments checks each document whole and reports every mistake.
+// parseDocuments parses and checks all documents, and returns every mistake found in
+// them as one error.
 func parseDocuments(req api.ApplyRequest) ([]config.Document, error) {
 	var docs []config.Document
 	var mistakes []*apierr.Error
@@ -83,21 +86,21 @@
 }
 
 func (h *Host) retireService(w http.ResponseWriter, r *http.Request) error {
-	revision, err := h.slices.editor.Retire(r.Context(), r.PathValue("service"))
-	return answerEdit(w, revision, err)
+	revision, err := h.components.editor.Retire(r.Context(), r.PathValue("service"))
+	return writeEditReply(w, revision, err)
 }
 
-func (h *Host) takeOut(w http.ResponseWriter, r *http.Request) error {
-	revision, err := h.slices.editor.SetFailureDomain(r.Context(), r.PathValue("name"), true)
-	return answerEdit(w, revision, err)
+func (h *Host) takeFailureDomainOut(w http.ResponseWriter, r *http.Request) error {
+	revision, err := h.components.editor.SetFailureDomain(r.Context(), r.PathValue("name"), true)
+	return writeEditReply(w, revision, err)
 }
 
-func (h *Host) bringIn(w http.ResponseWriter, r *http.Request) error {
-	revision, err := h.slices.editor.SetFailureDomain(r.Context(), r.PathValue("name"), false)
-	return answerEdit(w, revision, err)
+func (h *Host) bringFailureDomainIn(w http.ResponseWriter, r *http.Request) error {
+	revision, err := h.components.editor.SetFailureDomain(r.Context(), r.PathValue("name"), false)
+	return writeEditReply(w, revision, err)
 }
 
-func answerEdit(w http.ResponseWriter, revision uint64, err error) error {
+func writeEditReply(w http.ResponseWriter, revision uint64, err error) error {
 	if err != nil {
 		return err
 	}
--- a/entryhost/tls_test.go
+++ b/entryhost/tls_test.go
@@ -32,7 +32,7 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// authority signs entry hosts' certificates.
+// authority is a certificate authority that signs entry hosts' certificates.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -62,8 +62,9 @@
 	return cert
 }
 
-// files writes a fresh entry host's certificate and key, and trusted as its authority.
-func (a *authority) files(t *testing.T, trusted *authority) settings.KeyFiles {
+// writeKeyFiles writes a new certificate and key of an entry host, signed by a, and the
+// certificate of the authority that this host trusts.
+func (a *authority) writeKeyFiles(t *testing.T, trusted *authority) settings.KeyFiles {
 	key := newKey(t)
 	cert := sign(t, &x509.Certificate{
 		SerialNumber: big.NewInt(2), NotAfter: time.Now().Add(time.Hour),
@@ -85,8 +86,8 @@
 	}
 }
 
-// encrypted starts an entry host whose two listeners use the keys of files.
-func encrypted(t *testing.T, name, platformURL string, files settings.KeyFiles) *entryhost.Host {
+// newTLSHost returns an entry host whose two listeners use the given key files.
+func newTLSHost(t *testing.T, name, platformURL string, files settings.KeyFiles) *entryhost.Host {
 	s, err := settings.Parse("test", fmt.Appendf(nil, `{
 		"host": {"name": %q, "failureDomain": "fd-a", "region": "east"},
 		"listen": {"http": "127.0.0.1:0", "peer": "127.0.0.1:0"},
@@ -94,24 +95,25 @@
 		"operatorTokenHashes": [%q],
 		"tls": {"http": {"certFile": %q, "keyFile": %q}, "peer": {"certFile": %q, "keyFile": %q, "caFile": %q}},
 		"timing": {"drainWaitSeconds": 0},
-	}`, name, platformURL, auth.HashToken(operator), files.CertFile, files.KeyFile, files.CertFile, files.KeyFile, files.CAFile))
+	}`, name, platformURL, auth.HashToken(operatorToken), files.CertFile, files.KeyFile, files.CertFile, files.KeyFile, files.CAFile))
 	must.NoError(t, err)
 	h, err := entryhost.New(entryhost.Options{Settings: s, Logger: log.New(io.Discard)})
 	must.NoError(t, err)
 	return h
 }
 
-// Two hosts under one authority hear each other; a host under another
-// authority is heard by neither, whatever the host list says.
+// Entry hosts whose certificates have one authority exchange heartbeats. Guards against
+// accepting heartbeats from a host whose certificate has another authority, although
+// the host list names it, and against plain text on the peer listener.
 func TestTLS_BetweenEntryHostsAndTowardsCallers(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	store := kv.New()
 	kvServer := httptest.NewServer(store)
 	t.Cleanup(kvServer.Close)
 	hosts := map[string]*entryhost.Host{
-		"good-1":   encrypted(t, "good-1", kvServer.URL, ours.files(t, ours)),
-		"good-2":   encrypted(t, "good-2", kvServer.URL, ours.files(t, ours)),
-		"stranger": encrypted(t, "stranger", kvServer.URL, theirs.files(t, ours)),
+		"good-1":   newTLSHost(t, "good-1", kvServer.URL, ours.writeKeyFiles(t, ours)),
+		"good-2":   newTLSHost(t, "good-2", kvServer.URL, ours.writeKeyFiles(t, ours)),
+		"stranger": newTLSHost(t, "stranger", kvServer.URL, theirs.writeKeyFiles(t, ours)),
 	}
 	var list []kvstore.Host
 	var group errgroup.Group
@@ -125,27 +127,28 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(ours.cert)
 	caller := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, DisableKeepAlives: true}}
-	heard := func() map[string]bool { return hostsHeard(t, caller, "https://"+hosts["good-1"].Address()) }
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return heard()["good-2"] }), wait.Timeout(time.Minute), wait.Gap(50*time.Millisecond)))
-	must.Wait(t, wait.ContinualSuccess(wait.BoolFunc(func() bool { return !heard()["stranger"] }), wait.Timeout(2500*time.Millisecond), wait.Gap(250*time.Millisecond)))
+	reached := func() map[string]bool { return reachedHosts(t, caller, "https://"+hosts["good-1"].Address()) }
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return reached()["good-2"] }), wait.Timeout(time.Minute), wait.Gap(50*time.Millisecond)))
+	must.Wait(t, wait.ContinualSuccess(wait.BoolFunc(func() bool { return !reached()["stranger"] }), wait.Timeout(2500*time.Millisecond), wait.Gap(250*time.Millisecond)))
 
 	_, err := http.Get("http://" + hosts["good-2"].PeerAddress())
-	must.Error(t, err, must.Sprint("the peer listener took plain text"))
+	must.Error(t, err, must.Sprint("the peer listener accepted plain HTTP"))
 }
 
-// hostsHeard returns the entry hosts from which a host says it has heard.
-func hostsHeard(t *testing.T, c *http.Client, url string) map[string]bool {
+// reachedHosts returns, by name, whether the host at url reports each entry host as
+// reached.
+func reachedHosts(t *testing.T, c *http.Client, url string) map[string]bool {
 	r, err := http.NewRequestWithContext(t.Context(), "GET", url+"/v1/top", nil)
 	must.NoError(t, err)
-	r.Header.Set("Authorization", "Bearer "+operator)
+	r.Header.Set("Authorization", "Bearer "+operatorToken)
 	resp, err := c.Do(r)
 	must.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var top api.Top
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&top))
-	heard := map[string]bool{}
+	reached := map[string]bool{}
 	for _, h := range top.Hosts {
-		heard[h.Name] = h.Unreached == ""
+		reached[h.Name] = h.Unreached == ""
 	}
-	return heard
+	return reached
 }
--- a/entryhost/top.go
+++ b/entryhost/top.go
@@ -14,17 +14,17 @@
 	"github.com/cyclamentray/cyclamentray/placement"
 )
 
-// showTop answers from heartbeats and from the schedulers, without the
-// platform, so that operators see the deployment also during an outage.
+// showTop replies from heartbeats and the schedulers' summaries. It makes no call to
+// the platform, so that operators can see the deployment during a platform outage.
 func (h *Host) showTop(w http.ResponseWriter, r *http.Request) error {
 	top := api.Top{Hosts: h.hostStatuses(), FailureDomains: h.failureDomainStatuses(r.Context())}
 	httpjson.Write(w, http.StatusOK, top)
 	return nil
 }
 
-// hostStatuses tells what each entry host last said of itself, this one first.
+// hostStatuses returns the last reported status of each entry host, this one first.
 func (h *Host) hostStatuses() []api.HostStatus {
-	own := h.slices.status()
+	own := h.components.heartbeatStatus()
 	statuses := []api.HostStatus{{
 		Name:          h.opts.Settings.Host.Name,
 		FailureDomain: h.opts.Settings.Host.FailureDomain,
@@ -33,7 +33,7 @@
 		Term:          own.Term,
 		Draining:      !h.ready.Load(),
 	}}
-	view := h.slices.membership.View()
+	view := h.components.membership.View()
 	others := view.Select(func(p kvstore.Host) bool {
 		return p.Kind == kvstore.EntryHost && p.Name != view.Self.Name
 	})
@@ -44,24 +44,24 @@
 }
 
 func (h *Host) peerStatus(p kvstore.Host) api.HostStatus {
-	line := api.HostStatus{Name: p.Name, FailureDomain: p.FailureDomain, Draining: p.Leaving}
-	status, heard := h.slices.membership.Statuses()[p.Name]
-	if !heard {
-		line.Unreached = "no heartbeat from it yet"
-		return line
+	result := api.HostStatus{Name: p.Name, FailureDomain: p.FailureDomain, Draining: p.Leaving}
+	status, received := h.components.membership.Statuses()[p.Name]
+	if !received {
+		result.Unreached = "no heartbeat from it yet"
+		return result
 	}
-	line.HeardAge = h.opts.Now().Sub(status.At)
-	line.Revision = status.Revision
-	line.ConfirmedAge = status.RevisionAge + line.HeardAge
-	line.Term = status.Term
-	if h.slices.membership.View().Silent[p.Name] {
-		line.Unreached = "it does not answer"
+	result.HeardAge = h.opts.Now().Sub(status.At)
+	result.Revision = status.Revision
+	result.ConfirmedAge = status.RevisionAge + result.HeardAge
+	result.Term = status.Term
+	if h.components.membership.View().Silent[p.Name] {
+		result.Unreached = "it does not answer"
 	}
-	return line
+	return result
 }
 
 func (h *Host) failureDomainStatuses(ctx context.Context) []api.FailureDomainStatus {
-	snap, _ := h.slices.config.Current()
+	snap, _ := h.components.config.Current()
 	statuses := make([]api.FailureDomainStatus, 0, len(snap.FailureDomains))
 	for _, fd := range snap.FailureDomains {
 		statuses = append(statuses, h.failureDomainStatus(ctx, fd))
@@ -72,11 +72,11 @@
 
 func (h *Host) failureDomainStatus(ctx context.Context, fd config.FailureDomain) api.FailureDomainStatus {
 	status := api.FailureDomainStatus{Name: fd.Name, Out: fd.Out}
-	for _, w := range h.slices.membership.View().Workers(fd.Name) {
+	for _, w := range h.components.membership.View().Workers(fd.Name) {
 		status.Workers++
-		status.Accelerators += usable(w)
+		status.Accelerators += usableAccelerators(w)
 	}
-	sum, scheduler, err := h.summary(ctx, fd.Name)
+	sum, scheduler, err := h.schedulerSummary(ctx, fd.Name)
 	status.Scheduler = scheduler
 	if err != nil {
 		status.Unknown = err.Error()
@@ -90,24 +90,26 @@
 	return status
 }
 
-// usable returns a worker's accelerators, none of them when it is leaving.
-func usable(w kvstore.Host) int {
+// usableAccelerators returns the number of a worker's accelerators, or 0 if the worker
+// is leaving.
+func usableAccelerators(w kvstore.Host) int {
 	if w.Leaving {
 		return 0
 	}
 	return w.Accelerators
 }
 
-// summary asks the scheduler of a failure domain, which may be this host.
-func (h *Host) summary(ctx context.Context, failureDomain string) (sum gang.Summary, scheduler string, err error) {
-	found, ok := h.slices.schedulerOf(failureDomain)
+// schedulerSummary returns the summary and the name of a failure domain's scheduler,
+// which may be this host.
+func (h *Host) schedulerSummary(ctx context.Context, failureDomain string) (sum gang.Summary, scheduler string, err error) {
+	found, ok := h.components.schedulerOf(failureDomain)
 	switch {
 	case !ok:
 		return sum, "", fmt.Errorf("no scheduler is known; see the page on platform outages")
 	case found.Name == h.opts.Settings.Host.Name:
-		return h.slices.scheduler.Summary(), found.Name, nil
+		return h.components.scheduler.Summary(), found.Name, nil
 	}
-	sum, err = h.slices.scheduler.SummaryOf(ctx, found.PeerAddress)
+	sum, err = h.components.scheduler.SummaryOf(ctx, found.PeerAddress)
 	return sum, found.Name, err
 }
 
--- a/entryhost/trace_test.go
+++ b/entryhost/trace_test.go
@@ -16,8 +16,8 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// traced sends one request within a trace of its own and returns the trace's ID.
-func traced(t *testing.T, method, url, token, body string) string {
+// sendTraced sends one request within a new trace and returns the trace's ID.
+func sendTraced(t *testing.T, method, url, token, body string) string {
 	ctx, span := telemetry.Start(t.Context(), "caller")
 	defer span.End()
 	r, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -32,20 +32,20 @@
 	return telemetry.TraceID(ctx)
 }
 
-// One trace shows every hop: of a request down to its upstream, of a job down
-// to the workers that start it later. Background calls make none.
+// One trace covers every hop: those of a request to its upstream, and those of a job to
+// the workers that start it later. Background calls must not create traces.
 func TestTraces_EveryHopOfRequestsJobsAndEdits(t *testing.T) {
 	rec := telemetry.NewRecorder()
 	shutdown, err := telemetry.SetupTracing(t.Context(), telemetry.Tracing{Processors: []sdktrace.SpanProcessor{rec}})
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, shutdown(context.Background())) })
-	url := deployment(t)
+	url := startDeployment(t)
 
-	request := traced(t, "GET", url+"/v1/services/levy-filings/requests/returns", filer, "")
-	edit := traced(t, "POST", url+"/v1/failure-domains/fd-b/out", operator, "")
-	submission := traced(t, "POST", url+"/v1/jobs", filer, goodJob)
-	awaitShape(t, rec, submission, "worker POST /v1/start")
-	awaitShape(t, rec, edit, "platform PUT")
+	request := sendTraced(t, "GET", url+"/v1/services/levy-filings/requests/returns", filerToken, "")
+	edit := sendTraced(t, "POST", url+"/v1/failure-domains/fd-b/out", operatorToken, "")
+	submission := sendTraced(t, "POST", url+"/v1/jobs", filerToken, goodJob)
+	awaitTracePart(t, rec, submission, "worker POST /v1/start")
+	awaitTracePart(t, rec, edit, "platform PUT")
 
 	golden.Check(t, "trace-request", rec.Shape(request))
 	must.StrHasPrefix(t, "caller\n└─ entry host POST /v1/jobs\n   └─ entry POST /v1/jobs @fd-a-e0\n      ├─ worker POST /v1/reserve\n", rec.Shape(submission))
@@ -54,7 +54,7 @@
 	}
 }
 
-func awaitShape(t *testing.T, rec *telemetry.Recorder, id, part string) {
+func awaitTracePart(t *testing.T, rec *telemetry.Recorder, id, part string) {
 	t.Helper()
 	found := func() bool { return strings.Contains(rec.Shape(id), part) }
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(found), wait.Timeout(time.Minute), wait.Gap(10*time.Millisecond)))
