--- a/election/election.go
+++ b/election/election.go
@@ -1,8 +1,8 @@
 // Package election elects one entry host per failure domain as its scheduler. The
-// leader holds a store key under a lease in the platform's key-value service; the
-// version of the key's entry is the fencing term. Only the current term and the
-// last seen holder are kept, in memory. The entry host runs the election, and the
-// scheduler and the intake ask it whether they may act.
+// scheduler holds a key of the platform's key-value service under a lease; the version
+// of the key's entry is the fencing term. An Election keeps the current term and the
+// last seen holder in memory. The entry host runs it, and the packages that schedule
+// and accept jobs ask it whether this host may act.
 package election
 
 import (
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -18,16 +18,21 @@
 	"github.com/cyclamentray/cyclamentray/peer"
 )
 
+// EchoArgs holds the arguments of Echo.Say.
 type EchoArgs struct {
 	Text string
 	Wait time.Duration
 	ctx  context.Context
 }
 
+// SetContext implements peer.ContextSetter.
 func (a *EchoArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
+// Echo is a net/rpc service for tests. It sends to ended the error of each context that
+// ends before the reply.
 type Echo struct{ ended chan error }
 
+// Say replies with the text of args after args.Wait.
 func (e *Echo) Say(args EchoArgs, reply *string) error {
 	_, span := otel.Tracer("test").Start(args.ctx, "inner")
 	defer span.End()
