--- a/config/distributor.go
+++ b/config/distributor.go
@@ -191,7 +191,7 @@
 		return ""
 	}
 	view := d.opts.Members.View()
-	for _, h := range view.Neighbours() {
+	for _, h := range view.LocalPeers() {
 		if h.Name < view.Self.Name && !h.Leaving {
 			return h.PeerAddress
 		}
--- a/config/relay.go
+++ b/config/relay.go
@@ -25,8 +25,8 @@
 	ctx context.Context
 }
 
-// TakeContext implements peer.ContextTaker.
-func (a *LatestArgs) TakeContext(ctx context.Context) { a.ctx = ctx }
+// SetContext implements peer.ContextSetter.
+func (a *LatestArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
 // LatestReply is a peer's newest configuration and when the platform confirmed it.
 type LatestReply struct {
--- a/gang/assignment.go
+++ b/gang/assignment.go
@@ -99,7 +99,7 @@
 func newGangAssignment(o Options) gangAssignment {
 	view := o.Membership.View()
 	a := gangAssignment{self: view.Self.Name, hosts: []string{view.Self.Name}, racks: make(map[string]string)}
-	for _, h := range view.Neighbours() {
+	for _, h := range view.LocalPeers() {
 		a.hosts = append(a.hosts, h.Name)
 	}
 	for _, h := range view.Workers(o.FailureDomain) {
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -121,7 +121,7 @@
 	if len(observations) == 0 || r.o.Peers == nil {
 		return
 	}
-	for _, h := range r.o.Membership.View().Neighbours() {
+	for _, h := range r.o.Membership.View().LocalPeers() {
 		ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		_ = r.o.Peers.Call(ctx, h.PeerAddress, methodObserve, observations, &Ack{})
 		cancel()
