--- a/guarantee/assignment.go
+++ b/guarantee/assignment.go
@@ -18,8 +18,8 @@
 	slots       []Slot
 	claims      []Claim
 	claimBySlot []int            // index in claims of the claim that uses each slot; unused: noClaim (-1)
-	byOrg       map[string][]int // indices of each organisation's slots, smallest shape first
-	unusedCount map[string]int   // number of unused slots of each organisation
+	slotsByOrg  map[string][]int // indices of each organisation's slots, smallest shape first
+	unusedByOrg map[string]int   // number of unused slots of each organisation
 }
 
 // noClaim marks an unused slot in claimBySlot.
@@ -27,7 +27,7 @@
 
 // NewAssignment returns an assignment in which every slot is unused.
 func NewAssignment(gs []Guarantee) *Assignment {
-	a := &Assignment{byOrg: map[string][]int{}, unusedCount: map[string]int{}}
+	a := &Assignment{slotsByOrg: map[string][]int{}, unusedByOrg: map[string]int{}}
 	for _, g := range gs {
 		for range g.Count {
 			a.slots = append(a.slots, Slot{Organisation: g.Organisation, Shape: g.Shape})
@@ -36,8 +36,8 @@
 	slices.SortStableFunc(a.slots, compareSlots)
 	a.claimBySlot = slices.Repeat([]int{noClaim}, len(a.slots))
 	for i, s := range a.slots {
-		a.byOrg[s.Organisation] = append(a.byOrg[s.Organisation], i)
-		a.unusedCount[s.Organisation]++
+		a.slotsByOrg[s.Organisation] = append(a.slotsByOrg[s.Organisation], i)
+		a.unusedByOrg[s.Organisation]++
 	}
 	return a
 }
@@ -72,7 +72,7 @@
 		a.claims = a.claims[:len(a.claims)-1]
 		return slot, false
 	}
-	a.unusedCount[c.Organisation]--
+	a.unusedByOrg[c.Organisation]--
 	return slot, true
 }
 
@@ -82,25 +82,25 @@
 // calls assign, if not nil, for each slot on the path. It fails only if no
 // assignment of slots serves the claim together with all earlier ones.
 func (a *Assignment) augment(c Claim, assign func(slot, claim int)) (end int, ok bool) {
-	if a.unusedCount[c.Organisation] == 0 {
+	if a.unusedByOrg[c.Organisation] == 0 {
 		return 0, false
 	}
 	seen := map[int]bool{}
-	var visit func(c Claim, id int) bool
-	visit = func(c Claim, id int) bool {
-		for _, s := range a.byOrg[c.Organisation] {
+	var visit func(c Claim, claim int) bool
+	visit = func(c Claim, claim int) bool {
+		for _, s := range a.slotsByOrg[c.Organisation] {
 			if seen[s] || !c.Fits(a.slots[s].Shape) {
 				continue
 			}
 			seen[s] = true
-			h := a.claimBySlot[s]
-			if h == noClaim {
+			user := a.claimBySlot[s]
+			if user == noClaim {
 				end = s
-			} else if !visit(a.claims[h], h) {
+			} else if !visit(a.claims[user], user) {
 				continue
 			}
 			if assign != nil {
-				assign(s, id)
+				assign(s, claim)
 			}
 			return true
 		}
--- a/guarantee/backing.go
+++ b/guarantee/backing.go
@@ -8,8 +8,8 @@
 	"github.com/cyclamentray/cyclamentray/placement/topology"
 )
 
-// maxSearchSteps bounds the exhaustive search for a backing plan, which follows
-// when the greedy orders have failed.
+// maxSearchSteps bounds the exhaustive search for a backing. The search runs only
+// if no greedy order backs all slots.
 const maxSearchSteps = 20_000
 
 // Backing assigns adjacent accelerators to unused slots; no accelerator backs
@@ -35,24 +35,24 @@
 		if len(best.unbacked) == 0 {
 			return best
 		}
-		if p := a.packGreedily(k, slots, order); len(p.unbacked) < len(best.unbacked) {
-			best = p
+		if b := a.packGreedily(k, slots, order); len(b.unbacked) < len(best.unbacked) {
+			best = b
 		}
 	}
 	if len(best.unbacked) == 0 || a.accelerators(slots) > k.TotalFree() {
 		return best
 	}
-	if p := a.packExhaustively(k, slots); p != nil {
-		return p
+	if b := a.packExhaustively(k, slots); b != nil {
+		return b
 	}
 	return best
 }
 
 // UnusedSlots returns the slots that no claim uses, except the given one.
-func (a *Assignment) UnusedSlots(without int) []int {
+func (a *Assignment) UnusedSlots(except int) []int {
 	var out []int
 	for s := range a.slots {
-		if a.Unused(s) && s != without {
+		if a.Unused(s) && s != except {
 			out = append(out, s)
 		}
 	}
@@ -100,18 +100,18 @@
 // packGreedily backs the slots one at a time in the given order.
 func (a *Assignment) packGreedily(k *topology.Capacity, slots []int, order slotOrder) *Backing {
 	k = k.Clone()
-	p := &Backing{placements: make(map[int][]int, len(slots))}
+	b := &Backing{placements: make(map[int][]int, len(slots))}
 	for _, s := range a.sorted(slots, order) {
 		shape := a.slots[s].Shape
 		placement := k.Fit(shape, nil)
 		if placement == nil {
-			p.unbacked = append(p.unbacked, s)
+			b.unbacked = append(b.unbacked, s)
 			continue
 		}
 		k.AllocateAll(placement, shape.AcceleratorsPerTask)
-		p.placements[s] = placement
+		b.placements[s] = placement
 	}
-	return p
+	return b
 }
 
 func (a *Assignment) sorted(slots []int, order slotOrder) []int {
@@ -132,21 +132,22 @@
 	if !s.placeShape(0) {
 		return nil
 	}
-	p := &Backing{placements: make(map[int][]int, len(order))}
+	b := &Backing{placements: make(map[int][]int, len(order))}
 	for i, slot := range order {
-		p.placements[slot] = s.placements[i]
+		b.placements[slot] = s.placements[i]
+		// A shape on one worker was normalised to a single task.
 		if tasks := a.slots[slot].Shape.Tasks; tasks != len(s.placements[i]) {
-			p.placements[slot] = slices.Repeat(s.placements[i], tasks)
+			b.placements[slot] = slices.Repeat(s.placements[i], tasks)
 		}
 	}
-	return p
+	return b
 }
 
 // searcher is a depth-first search over the placements of tasks.
 type searcher struct {
 	k          *topology.Capacity
-	shapes     []job.Shape
-	placements [][]int
+	shapes     []job.Shape // normalised, in the order in which they are placed
+	placements [][]int     // worker of each task placed so far, by index in shapes
 	stepsLeft  int
 }
 
--- a/guarantee/guarantee_test.go
+++ b/guarantee/guarantee_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func shape(tasks, per int, a job.Adjacency) job.Shape {
-	return job.Shape{Tasks: tasks, AcceleratorsPerTask: per, Adjacency: a}
+func shape(tasks, perTask int, a job.Adjacency) job.Shape {
+	return job.Shape{Tasks: tasks, AcceleratorsPerTask: perTask, Adjacency: a}
 }
 
 func capacity(sizes ...int) *topology.Capacity {
@@ -53,21 +53,23 @@
 		for range 1 + r.IntN(5) {
 			gs = append(gs, Guarantee{"a", shape(1+r.IntN(3), 1+r.IntN(3), adjacencies[r.IntN(3)]), 1})
 		}
-		b := NewAssignment(gs)
-		p := b.PlanBacking(k, b.UnusedSlots(-1))
-		want := packs(k.Clone(), b.Slots())
-		must.Eq(t, want, len(p.UnbackedSlots()) == 0, must.Sprintf("%+v", gs))
+		a := NewAssignment(gs)
+		b := a.PlanBacking(k, a.UnusedSlots(-1))
+		want := packs(k.Clone(), a.Slots())
+		must.Eq(t, want, len(b.UnbackedSlots()) == 0, must.Sprintf("%+v", gs))
 		if want {
 			backed++
-			checkPlacements(t, k.Clone(), b, p)
+			checkPlacements(t, k.Clone(), a, b)
 		}
 	}
 	must.Greater(t, 300, backed)
 }
 
-func checkPlacements(t *testing.T, k *topology.Capacity, b *Assignment, p *Backing) {
-	for i, s := range b.Slots() {
-		placement := p.Placement(i)
+// checkPlacements checks that every slot has a placement on adjacent workers, and
+// that together they fit the capacity.
+func checkPlacements(t *testing.T, k *topology.Capacity, a *Assignment, backing *Backing) {
+	for i, s := range a.Slots() {
+		placement := backing.Placement(i)
 		must.Len(t, s.Shape.Tasks, placement)
 		for _, w := range placement {
 			must.GreaterEq(t, s.Shape.AcceleratorsPerTask, k.Free(w))
@@ -81,6 +83,7 @@
 	return x == y || a == job.SameFailureDomain || a == job.SameRack && k.RackOf(x) == k.RackOf(y)
 }
 
+// packs reports whether all slots can be placed at once, by trying every placement.
 func packs(k *topology.Capacity, slots []Slot) bool {
 	if len(slots) == 0 {
 		return true
@@ -112,14 +115,14 @@
 // to another slot.
 func TestAssignmentMovesEarlierClaims(t *testing.T) {
 	small, large := shape(1, 4, job.SameWorker), shape(2, 3, job.SameFailureDomain)
-	b := NewAssignment([]Guarantee{{"a", small, 1}, {"a", large, 1}})
-	_, ok := b.AddClaim(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
+	a := NewAssignment([]Guarantee{{"a", small, 1}, {"a", large, 1}})
+	_, ok := a.AddClaim(Claim{"a", shape(1, 3, job.SameWorker), false}) // fits both; takes the smaller
 	must.True(t, ok)
-	_, ok = b.AddClaim(Claim{"a", small, false}) // fits only the smaller
+	_, ok = a.AddClaim(Claim{"a", small, false}) // fits only the smaller
 	must.True(t, ok)
-	_, ok = b.FindSlot(Claim{"a", small, true})
+	_, ok = a.FindSlot(Claim{"a", small, true})
 	must.False(t, ok)
-	_, ok = b.FindSlot(Claim{"b", small, true})
+	_, ok = a.FindSlot(Claim{"b", small, true})
 	must.False(t, ok)
 }
 
--- a/guarantee/reclaim.go
+++ b/guarantee/reclaim.go
@@ -42,9 +42,9 @@
 // Choice is the result of ChooseVictims: the borrowers to stop and the placement
 // of the waiting gang after that.
 type Choice struct {
-	Victims   []int // indices of the borrowers to stop
-	Placement []int // worker of each task
-	Cost      float64
+	Victims   []int   // indices of the borrowers to stop
+	Placement []int   // worker of each task
+	Cost      float64 // sum of the victims' costs, each with FixedStopCost
 }
 
 // searchRequest holds the arguments of one call of ChooseVictims.
@@ -61,8 +61,8 @@
 	contains func(w int) bool
 }
 
-// ChooseVictims finds the placement for a shape for which stopping borrowers
-// costs least. The capacity available counts accelerators that are free or about
+// ChooseVictims chooses borrowers to stop so that a shape fits, at the lowest cost
+// that it finds. The capacity available counts accelerators that are free or about
 // to be freed; it is changed during the call and restored. The function allowed
 // reports which borrowers may be stopped.
 func (r *Reclaimer) ChooseVictims(available *topology.Capacity, s job.Shape, avoid topology.AvoidFunc, allowed func(borrower int) bool) (best Choice, ok bool) {
@@ -195,8 +195,8 @@
 	slices.SortFunc(ranked, func(a, b rankedBorrower) int {
 		return cmp.Or(cmp.Compare(a.costPerAccelerator, b.costPerAccelerator), cmp.Compare(a.borrower, b.borrower))
 	})
-	for i, c := range ranked {
-		out[i] = c.borrower
+	for i, b := range ranked {
+		out[i] = b.borrower
 	}
 	return out
 }
--- a/job/job.go
+++ b/job/job.go
@@ -1,6 +1,7 @@
 // Package job defines the messages that describe jobs: shapes, identities,
-// states and ledger records. It holds no state and only checks and updates its
-// own values. Intake, the schedulers, placement and the ledgers use it.
+// states and ledger records. It holds no state; its methods only check or update
+// the value that they are called on. Intake, the schedulers, placement and the
+// ledgers use it.
 package job
 
 import "time"
--- a/placement/backfill.go
+++ b/placement/backfill.go
@@ -33,7 +33,8 @@
 	shortageReasons map[job.Shape]string // hold reasons by shape
 }
 
-// level is the capacity that is free beside some of the reservations.
+// level is the capacity that is free beside some of the reservations: free
+// accelerators that these reservations do not use.
 type level struct {
 	free       *topology.Capacity
 	doesNotFit map[job.Shape]bool // shapes that are known not to fit
@@ -135,19 +136,20 @@
 }
 
 // reserve finds the earliest time at which the job is expected to fit, and its
-// placement. The time is the expected end of the last gang that must end first.
+// placement. The job fits once enough of gangEnds have ended; the time is the
+// expected end of the last of these.
 func (b *backfill) reserve(w *WaitingJob, avoid topology.AvoidFunc) (reservation, bool) {
 	if b.gangEnds == nil {
 		b.gangEnds = b.d.expectedEnds()
 	}
-	needed := sort.Search(len(b.gangEnds), func(n int) bool {
+	last := sort.Search(len(b.gangEnds), func(n int) bool {
 		return b.freeAfter(n+1).Fit(w.Shape, avoid) != nil
 	})
-	if needed == len(b.gangEnds) {
+	if last == len(b.gangEnds) {
 		return reservation{}, false
 	}
-	placement := b.freeAfter(needed+1).Fit(w.Shape, avoid)
-	return reservation{from: b.gangEnds[needed].at, placement: placement, shape: w.Shape}, true
+	placement := b.freeAfter(last+1).Fit(w.Shape, avoid)
+	return reservation{from: b.gangEnds[last].at, placement: placement, shape: w.Shape}, true
 }
 
 // freeAfter returns what is free beside all reservations once the first n gangs of
--- a/placement/baseline_test.go
+++ b/placement/baseline_test.go
@@ -29,36 +29,36 @@
 	queue := slices.Clone(v.Waiting)
 	slices.SortStableFunc(queue, func(a, b WaitingJob) int { return a.Submitted.Compare(b.Submitted) })
 	for _, w := range queue {
-		place := firstFit(k, w.Shape)
-		if place == nil {
+		placement := firstFit(k, w.Shape)
+		if placement == nil {
 			return p
 		}
-		k.AllocateAll(place, w.Shape.AcceleratorsPerTask)
-		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.WorkerNames(place)})
+		k.AllocateAll(placement, w.Shape.AcceleratorsPerTask)
+		p.Starts = append(p.Starts, Start{ID: w.ID, Workers: k.WorkerNames(placement)})
 	}
 	return p
 }
 
 // firstFit returns the first workers in name order that have room for a shape.
 func firstFit(k *topology.Capacity, s job.Shape) []int {
-	var regions [][]int
+	var groups [][]int
 	for r := range k.RackCount() {
-		regions = append(regions, k.RackWorkers(r))
+		groups = append(groups, k.RackWorkers(r))
 	}
 	if s.Adjacency == job.SameFailureDomain {
-		regions = [][]int{slices.Concat(regions...)}
+		groups = [][]int{slices.Concat(groups...)}
 	}
-	for _, region := range regions {
-		var place []int
-		for _, w := range region {
+	for _, group := range groups {
+		var placement []int
+		for _, w := range group {
 			if s.Adjacency == job.SameWorker {
-				place = place[:0]
+				placement = placement[:0]
 			}
-			for n := k.Free(w); n >= s.AcceleratorsPerTask && len(place) < s.Tasks; n -= s.AcceleratorsPerTask {
-				place = append(place, w)
+			for n := k.Free(w); n >= s.AcceleratorsPerTask && len(placement) < s.Tasks; n -= s.AcceleratorsPerTask {
+				placement = append(placement, w)
 			}
-			if len(place) == s.Tasks {
-				return place
+			if len(placement) == s.Tasks {
+				return placement
 			}
 		}
 	}
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -83,8 +83,8 @@
 				var ours, fifo replayResult
 				for _, seed := range benchSeeds() {
 					trace := drawTrace(size, .8, seed)
-					ours = ours.plus(leaveAndReturn(size, trace, Decide, true))
-					fifo = fifo.plus(leaveAndReturn(size, trace, fifoFirstFit, false))
+					ours = ours.plus(replayLeaveAndReturn(size, trace, Decide, true))
+					fifo = fifo.plus(replayLeaveAndReturn(size, trace, fifoFirstFit, false))
 				}
 				n := float64(len(benchSeeds()))
 				b.ReportMetric(0, "ns/op")
@@ -97,7 +97,9 @@
 	}
 }
 
-func leaveAndReturn(size traceSize, trace []traceJob, decide func(View) Plan, pulls bool) replayResult {
+// replayLeaveAndReturn replays a trace in which the first failure domain leaves and
+// returns.
+func replayLeaveAndReturn(size traceSize, trace []traceJob, decide func(View) Plan, pulls bool) replayResult {
 	r := newReplay(size, trace, decide)
 	r.pullsJobs = pulls
 	r.leaveAndReturn()
--- a/placement/checker_test.go
+++ b/placement/checker_test.go
@@ -9,8 +9,8 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// checkPlan returns the first fault of a plan. It does not use the code under test,
-// except compareGuaranteedGangs.
+// checkPlan returns the first fault that the checks find in a plan. It does not use
+// the code under test, except compareGuaranteedGangs.
 func checkPlan(v View, p Plan) error {
 	for _, check := range []func(View, Plan) error{checkEveryJobAnswered, checkStarts, checkReclaims, checkNoDoubleAllocation, checkQuotas, checkBacking} {
 		if err := check(v, p); err != nil {
@@ -219,16 +219,16 @@
 	if c.Shape.Adjacency == job.SameWorker {
 		return s.AcceleratorsPerTask*s.Tasks <= c.Shape.Accelerators()
 	}
-	each := c.Shape.AcceleratorsPerTask / s.AcceleratorsPerTask
-	if s.Tasks <= each {
+	perTask := c.Shape.AcceleratorsPerTask / s.AcceleratorsPerTask
+	if s.Tasks <= perTask {
 		return true
 	}
 	adjacentEnough := s.Adjacency == job.SameFailureDomain || s.Adjacency == job.SameRack && c.Shape.Adjacency == job.SameRack
-	return adjacentEnough && s.Tasks <= each*c.Shape.Tasks
+	return adjacentEnough && s.Tasks <= perTask*c.Shape.Tasks
 }
 
-// protectedGangs returns the gangs that hold a guarantee, in the order in which they
-// keep it.
+// protectedGangs returns the gangs that count against a guarantee, in the order of
+// compareGuaranteedGangs.
 func protectedGangs(v View) []int {
 	var order, kept []int
 	for i, g := range v.Running {
@@ -238,25 +238,25 @@
 	}
 	slices.SortFunc(order, func(a, b int) int { return compareGuaranteedGangs(&v.Running[a], &v.Running[b]) })
 	for _, i := range order {
-		if assignments(v, append(slices.Clone(kept), i), func([]bool) bool { return true }) {
+		if anyAssignment(v, append(slices.Clone(kept), i), func([]bool) bool { return true }) {
 			kept = append(kept, i)
 		}
 	}
 	return kept
 }
 
-// assignments tries every way to assign a copy to each gang, and reports whether
-// accept takes one of them.
-func assignments(v View, gangs []int, accept func(used []bool) bool) bool {
-	cs := guaranteedCopies(v)
-	used := make([]bool, len(cs))
+// anyAssignment tries every way to assign a copy to each gang, and reports whether
+// accept returns true for any of them.
+func anyAssignment(v View, gangs []int, accept func(used []bool) bool) bool {
+	copies := guaranteedCopies(v)
+	used := make([]bool, len(copies))
 	var assign func(n int) bool
 	assign = func(n int) bool {
 		if n == len(gangs) {
 			return accept(used)
 		}
 		g := v.Running[gangs[n]]
-		for i, c := range cs {
+		for i, c := range copies {
 			if !used[i] && fitsCopy(g.ID, g.Shape, g.Urgent, c) {
 				used[i] = true
 				if assign(n + 1) {
@@ -285,7 +285,7 @@
 			free[w] -= v.Running[i].Shape.AcceleratorsPerTask
 		}
 	}
-	return assignments(v, kept, func(used []bool) bool {
+	return anyAssignment(v, kept, func(used []bool) bool {
 		var left []job.Shape
 		for i, c := range guaranteedCopies(v) {
 			if !used[i] {
@@ -309,8 +309,8 @@
 		}
 		for i := from; i < len(workers); i++ {
 			w := workers[i]
-			far := s.Adjacency == job.SameWorker && w.Name != first.Name || s.Adjacency == job.SameRack && w.Rack != first.Rack
-			if task > 0 && far || free[w.Name] < s.AcceleratorsPerTask {
+			notAdjacent := s.Adjacency == job.SameWorker && w.Name != first.Name || s.Adjacency == job.SameRack && w.Rack != first.Rack
+			if task > 0 && notAdjacent || free[w.Name] < s.AcceleratorsPerTask {
 				continue
 			}
 			free[w.Name] -= s.AcceleratorsPerTask
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -122,8 +122,8 @@
 }
 
 // claimOrder returns the running gangs that were started under a guarantee: urgent
-// ones first, then larger, then older. When an edit has removed slots, the last
-// ones no longer count against the guarantee.
+// ones first, then larger, then older. When an edit of the configuration has removed
+// slots, the last ones no longer count against the guarantee.
 func (d *decision) claimOrder() []int {
 	var out []int
 	for i := range d.v.Running {
@@ -146,9 +146,9 @@
 	return out
 }
 
-func (d *decision) addUsage(organisation, name string, s job.Shape) {
+func (d *decision) addUsage(organisation, team string, s job.Shape) {
 	d.usage[organisation] += s.Accelerators()
-	if q := d.teams[teamKey{organisation, name}]; q != nil {
+	if q := d.teams[teamKey{organisation, team}]; q != nil {
 		q.used += s.Accelerators()
 	}
 }
--- a/placement/deficit.go
+++ b/placement/deficit.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// deficitReason says whether unavailable workers or too many guarantees cause the
-// deficits.
+// deficitReason returns the cause of the deficits: unavailable workers or too many
+// guarantees.
 func (d *decision) deficitReason() string {
 	workers, accelerators := 0, 0
 	for _, w := range d.v.Workers {
--- a/placement/displace.go
+++ b/placement/displace.go
@@ -16,11 +16,10 @@
 	minWaitSaved             = 10 * time.Minute // saving a shorter wait is not worth a displacement
 )
 
-// displace asks gangs that can checkpoint to stop for a blocked job if that saves
-// the job enough waiting compared with the delay of those gangs, and returns the
-// job's placement. An overdue job need not save more than it costs.
-// A gang that fits elsewhere is delayed by a restart, any other also by the job's
-// run.
+// displace asks gangs that can checkpoint to stop for a blocked job and returns the
+// job's placement. It does so only if that saves the job a wait of at least
+// minWaitSaved, and of at least minDisplacementGain times the delay of those gangs.
+// The delay does not matter if the job is overdue.
 func (b *backfill) displace(w *WaitingJob, r reservation, avoid topology.AvoidFunc) (placement []int, ok bool) {
 	d := b.d
 	saved := r.from.Sub(d.v.Now) - expectedStopTime
@@ -52,7 +51,8 @@
 	return overdue || d.expectedEnd(g).Sub(d.v.Now) > run
 }
 
-// totalDelay returns the sum of the delays of the gangs that a choice displaces.
+// totalDelay returns the sum of the delays of the gangs that a choice displaces. A
+// gang that fits elsewhere is delayed by a restart, any other also by the job's run.
 func (b *backfill) totalDelay(w *WaitingJob, available *topology.Capacity, c guarantee.Choice, run time.Duration) time.Duration {
 	d := b.d
 	k := available.Clone()
--- a/placement/estimates.go
+++ b/placement/estimates.go
@@ -77,22 +77,22 @@
 	if s := e.byService[service]; s != nil {
 		mix.mixIn(s)
 	}
-	if l := e.byTemplate[estimateKey(service, template)]; l != nil {
-		mix.mixIn(l)
+	if t := e.byTemplate[estimateKey(service, template)]; t != nil {
+		mix.mixIn(t)
 	}
 	return mix
 }
 
 // mixIn scales r down to a weight of at most maxPriorWeight and adds the history of
 // a narrower group.
-func (r *ratios) mixIn(finer *ratios) {
-	if finer.Total == 0 {
+func (r *ratios) mixIn(narrower *ratios) {
+	if narrower.Total == 0 {
 		return
 	}
 	scale := min(1, maxPriorWeight/r.Total)
 	r.Total = 0
 	for i := range r.Weight {
-		r.Weight[i] = r.Weight[i]*scale + finer.Weight[i]
+		r.Weight[i] = r.Weight[i]*scale + narrower.Weight[i]
 		r.Total += r.Weight[i]
 	}
 }
--- a/placement/feasible.go
+++ b/placement/feasible.go
@@ -43,7 +43,7 @@
 func remedyFor(empty *topology.Capacity, shape job.Shape) string {
 	one := job.Shape{Tasks: 1, AcceleratorsPerTask: shape.AcceleratorsPerTask, Adjacency: job.SameWorker}
 	if empty.Fit(one, nil) == nil {
-		return fmt.Sprintf("ask for at most %d accelerators per task", largestWorker(empty))
+		return fmt.Sprintf("ask for at most %d accelerators per task", maxAcceleratorsPerWorker(empty))
 	}
 	for _, wider := range []job.Adjacency{job.SameRack, job.SameFailureDomain} {
 		s := shape
@@ -55,7 +55,9 @@
 	return "submit it with fewer tasks or fewer accelerators per task, or to a larger failure domain"
 }
 
-func largestWorker(k *topology.Capacity) int {
+// maxAcceleratorsPerWorker returns the free accelerators of the worker that has the
+// most.
+func maxAcceleratorsPerWorker(k *topology.Capacity) int {
 	most := 0
 	for w := range k.Len() {
 		most = max(most, k.Free(w))
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -15,8 +15,8 @@
 // model calls Decide after random events in a small failure domain.
 type model struct {
 	v       View
-	lastJob int
-	steps   *int
+	lastJob int  // number that names the newest job
+	steps   *int // decisions so far, over all runs of the model
 }
 
 var modelAdjacencies = []job.Adjacency{job.SameWorker, job.SameRack, job.SameFailureDomain}
@@ -124,7 +124,8 @@
 	}
 }
 
-func (m *model) changeOut(t *rapid.T) { m.v.Out = rapid.IntRange(0, 3).Draw(t, "out") == 0 }
+// changeOutOfService draws whether the failure domain is out of service.
+func (m *model) changeOutOfService(t *rapid.T) { m.v.Out = rapid.IntRange(0, 3).Draw(t, "out") == 0 }
 
 func (m *model) advanceClock(t *rapid.T) {
 	m.v.Now = m.v.Now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "minutes")) * time.Minute)
@@ -187,7 +188,7 @@
 		}
 		u := cloneView(v)
 		u.Running = append(u.Running, Gang{ID: w.ID, Shape: w.Shape, Urgent: true, Guaranteed: true})
-		if !assignments(u, append(slices.Clone(kept), len(v.Running)), func([]bool) bool { return true }) {
+		if !anyAssignment(u, append(slices.Clone(kept), len(v.Running)), func([]bool) bool { return true }) {
 			continue
 		}
 		for _, h := range p.Holds {
@@ -219,7 +220,7 @@
 		m := newModel(t, &steps)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": m.submitJob, "arrive again": m.submitJob, "arrive more": m.submitJob, "finish": m.finishGang, "finish again": m.finishGang, "finish more": m.finishGang, "cancel": m.cancelJobs,
-			"stop": m.stopGangs, "worker": m.changeWorker, "drain": m.changeOut, "edit": m.editGuarantees, "wait": m.advanceClock, "": m.decideAndCheck,
+			"stop": m.stopGangs, "worker": m.changeWorker, "drain": m.changeOutOfService, "edit": m.editGuarantees, "wait": m.advanceClock, "": m.decideAndCheck,
 		})
 	})
 	must.GreaterEq(t, 10_000, steps)
--- a/placement/predict.go
+++ b/placement/predict.go
@@ -38,6 +38,8 @@
 	return p.scaledRun(w, func(b *blend) float64 { return b.backfillRatio })
 }
 
+// scaledRun returns a waiting job's declared run time, multiplied by a ratio of its
+// template's blend if there are estimates.
 func (p *predictor) scaledRun(w *WaitingJob, ratio func(b *blend) float64) time.Duration {
 	declared := max(w.DeclaredRun, minRun)
 	if p.estimates == nil {
--- a/placement/pull.go
+++ b/placement/pull.go
@@ -2,9 +2,9 @@
 
 import "github.com/cyclamentray/cyclamentray/job"
 
-// PullableJobs returns which of the jobs offered by other failure domains, where
-// they are held, this one could start at once beside its own jobs and reservations.
-// It considers them in the order offered and does not change v.
+// PullableJobs returns the offered jobs, held by other failure domains, that this one
+// could start at once beside its own jobs and reservations. It considers them in the
+// order offered and does not change v.
 func PullableJobs(v View, offered []WaitingJob) []job.ID {
 	if v.Out || len(offered) == 0 {
 		return nil
--- a/placement/quarantine.go
+++ b/placement/quarantine.go
@@ -74,7 +74,7 @@
 	if failed < workersToFailJob {
 		return false, ""
 	}
-	return true, fmt.Sprintf("it failed on %d different workers; check its logs, fix the job and submit it under a new name", failed)
+	return true, fmt.Sprintf("it failed on %d different workers; look at its logs, mend it and submit it under a new name", failed)
 }
 
 // RecordSuccess records that a job succeeded on its workers. It clears the failures
@@ -100,7 +100,7 @@
 	if h == nil || !now.Before(h.quarantinedUntil) {
 		return ""
 	}
-	return fmt.Sprintf("quarantined until %s, because %d different jobs failed on it; repair or replace it",
+	return fmt.Sprintf("quarantined until %s, since %d different jobs failed on it; repair or replace it",
 		h.quarantinedUntil.UTC().Format(time.RFC3339), len(h.failures))
 }
 
@@ -155,7 +155,8 @@
 	return h
 }
 
-// quarantine starts a quarantine with twice the previous backoff, within bounds.
+// quarantine starts a quarantine with twice the previous backoff, at least
+// initialBackoff and at most maxBackoff.
 func (h *workerHealth) quarantine(now time.Time) {
 	h.backoff = min(max(2*h.backoff, initialBackoff), maxBackoff)
 	h.quarantinedUntil = now.Add(h.backoff)
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -17,8 +17,8 @@
 	sizeExponent = 1.5
 )
 
-// shareWeight scales how much larger a job counts in its score by its
-// organisation's share of the accelerators in use, so that one organisation's
+// shareWeight is how strongly the share of all accelerators that an organisation
+// uses enlarges the size of its jobs in their score, so that one organisation's
 // queue does not hold up the others.
 const shareWeight = 8.0
 
@@ -149,9 +149,9 @@
 	d.holdJob(w, d.teams[t].exceededReason(t, w.Shape))
 }
 
-// avoidFunc reports the workers on which a job has failed. It returns nil, so that
-// they are used all the same, if the job does not fit on the other workers even
-// when nothing else runs.
+// avoidFunc returns a function that excludes the workers on which a job has failed.
+// If the job does not fit on the other workers even when nothing else runs, it
+// returns nil, so that no worker is excluded.
 func (d *decision) avoidFunc(w *WaitingJob) topology.AvoidFunc {
 	if len(w.Avoid) == 0 {
 		return nil
--- a/placement/reasons.go
+++ b/placement/reasons.go
@@ -9,11 +9,11 @@
 
 // Reasons shown to callers and operators.
 const (
-	reasonOut                  = "operators have taken the failure domain out of service; wait until it returns, or submit the job to another one"
-	reasonDrain                = "operators have taken the failure domain out of service; the job resumes from its checkpoint elsewhere"
+	reasonOut                  = "operators have taken the failure domain out of service; wait for its return, or submit the job to another one"
+	reasonDrain                = "operators have taken the failure domain out of service; the job goes on from its checkpoint elsewhere"
 	reasonGuaranteedReclaiming = "its organisation's guaranteed accelerators are being reclaimed for it; it starts when the gangs on them have stopped"
-	reasonUrgentReclaiming     = "accelerators are being reclaimed for it because it is urgent; it starts when the gangs on them have stopped, unless work within a guarantee needs them"
-	reasonDisplaced            = "it is moved or paused to make room for a job whose wait this shortens by more than it costs; it resumes from its checkpoint"
+	reasonUrgentReclaiming     = "accelerators are being reclaimed for it as it is urgent; it starts when the gangs on them have stopped, unless work within a guarantee needs them"
+	reasonDisplaced            = "it is moved, or paused, for a job that this saves more waiting than it costs; it goes on from its checkpoint"
 	reasonUrgentWork           = "urgent work needs its accelerators"
 )
 
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -27,13 +27,13 @@
 	doneWork, capacityWork, demandedWork   float64   // accelerator-seconds within the window
 	fragmentationSum, fragmentationSeconds float64
 	decisions                              int
-	reclaims, wasted                       int
+	reclaims, reclaimsWithoutCheckpoint    int
 }
 
 type replayDomain struct {
 	workers       []Worker
 	feasible      func(job.Shape) bool
-	size          int // accelerators
+	accelerators  int // of all its workers
 	out           bool
 	running       []*replayJob
 	waiting       []*replayJob
@@ -43,13 +43,13 @@
 
 type replayJob struct {
 	traceJob
-	fd                     int
-	gang                   Gang
-	generation             int
-	savedProgress          time.Duration // run time done and kept by checkpoints
-	restartOverhead        time.Duration // delay before this start makes progress
-	predicted              float64       // accelerator-seconds
-	firstStart, end, moved time.Time
+	fd                        int
+	gang                      Gang
+	generation                int
+	savedProgress             time.Duration // run time done and kept by checkpoints
+	restartOverhead           time.Duration // delay before this start makes progress
+	predicted                 float64       // accelerator-seconds
+	firstStart, end, lastMove time.Time
 }
 
 type event struct {
@@ -93,7 +93,7 @@
 	r := &replay{size: size, decide: decide, estimates: NewEstimates()}
 	for fd := range size.workers {
 		ws := size.cluster(fd)
-		r.domains = append(r.domains, &replayDomain{workers: ws, feasible: feasibleIn(ws), size: accelerators(ws)})
+		r.domains = append(r.domains, &replayDomain{workers: ws, feasible: feasibleIn(ws), accelerators: accelerators(ws)})
 	}
 	for _, t := range trace {
 		j := &replayJob{traceJob: t}
@@ -150,7 +150,7 @@
 			continue
 		}
 		for _, j := range from.waiting {
-			if r.now.Sub(j.moved) >= replayMoveInterval {
+			if r.now.Sub(j.lastMove) >= replayMoveInterval {
 				offered = append(offered, j.WaitingJob)
 				byID[j.ID] = j
 			}
@@ -163,7 +163,7 @@
 		from.waiting = slices.DeleteFunc(from.waiting, func(o *replayJob) bool { return o == j })
 		from.load -= j.predicted
 		d.load += j.predicted
-		j.fd, j.moved = fd, r.now
+		j.fd, j.lastMove = fd, r.now
 		d.waiting = append(d.waiting, j)
 		d.needsDecision = true
 	}
@@ -205,7 +205,7 @@
 	j.predicted = run.Seconds() * float64(j.Shape.Accelerators())
 	best := math.Inf(1)
 	for fd, d := range r.domains {
-		if l := d.load / float64(d.size); !d.out && l < best && d.feasible(j.Shape) {
+		if l := d.load / float64(d.accelerators); !d.out && l < best && d.feasible(j.Shape) {
 			best, j.fd = l, fd
 		}
 	}
@@ -300,7 +300,7 @@
 		j.savedProgress += progress
 		j.restartOverhead = replayRestartOverhead
 	} else {
-		r.wasted++
+		r.reclaimsWithoutCheckpoint++
 		if !r.outAt.IsZero() && !r.now.Before(r.outAt) && !r.now.After(r.windowEnd) {
 			since := min(progress, r.now.Sub(r.outAt))
 			r.doneWork -= since.Seconds() * float64(j.Shape.Accelerators())
@@ -311,14 +311,14 @@
 	heap.Push(&r.events, event{at: r.now.Add(replayStopTime), kind: gangStopped, job: j})
 }
 
-// accumulate adds the measures of the time from now to the next event.
+// accumulate adds to the measures the time from now until the given one.
 func (r *replay) accumulate(until time.Time) {
 	dt := until.Sub(r.now).Seconds()
 	inWindow := !r.outAt.IsZero() && !r.now.Before(r.outAt) && r.now.Before(r.windowEnd)
 	capacity, demand := 0, 0
 	for _, d := range r.domains {
 		if inWindow && !d.out {
-			capacity += d.size
+			capacity += d.accelerators
 			demand += d.demand()
 			r.doneWork += dt * float64(d.working(r.now))
 		}
--- a/placement/topology/cluster.go
+++ b/placement/topology/cluster.go
@@ -24,9 +24,9 @@
 // decisions.
 type Cluster struct {
 	workers []Worker
-	rackOf  []int   // rack of each worker
-	racks   [][]int // workers of each rack
-	byName  map[string]int
+	rackOf  []int          // rack of each worker
+	racks   [][]int        // workers of each rack
+	byName  map[string]int // position of each worker
 }
 
 // NewCluster indexes workers; their order in the argument does not matter.
--- a/placement/topology/fit.go
+++ b/placement/topology/fit.go
@@ -95,11 +95,11 @@
 		return nil
 	}
 	slices.SortStableFunc(racks, func(a, b int) int { return k.freeByRack[a] - k.freeByRack[b] })
-	left := s
+	part := s
 	var out []int
 	for _, r := range racks {
-		left.Tasks = min(s.Tasks-len(out), k.TaskCapacity(k.racks[r], s, avoid))
-		out = append(out, k.fillWorkers(k.racks[r], left, avoid)...)
+		part.Tasks = min(s.Tasks-len(out), k.TaskCapacity(k.racks[r], s, avoid))
+		out = append(out, k.fillWorkers(k.racks[r], part, avoid)...)
 		if len(out) == s.Tasks {
 			break
 		}
--- a/placement/trace_test.go
+++ b/placement/trace_test.go
@@ -71,6 +71,7 @@
 	return n
 }
 
+// pick returns a random index, each with the probability that weights gives it.
 func pick(r *rand.Rand, weights ...float64) int {
 	x := r.Float64()
 	for i, w := range weights {
--- a/placement/types.go
+++ b/placement/types.go
@@ -31,7 +31,7 @@
 	Shape        job.Shape
 	Workers      []string // worker of each task
 	Urgent       bool
-	Checkpoint   bool
+	Checkpoint   bool // its tasks can save their work when asked
 	Guaranteed   bool // counts against its organisation's guarantee, so it is not reclaimable
 	Stopping     bool // asked to stop; its accelerators are not yet free
 	Started      time.Time
@@ -46,7 +46,7 @@
 	Template    string
 	Shape       job.Shape
 	Urgent      bool
-	Checkpoint  bool
+	Checkpoint  bool // its tasks can save their work when asked
 	Submitted   time.Time
 	DeclaredRun time.Duration
 	Avoid       []string // workers on which it has failed
