--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -54,7 +54,7 @@
 	set := metrics.NewSet()
 	client := &http.Client{Transport: Transport(http.DefaultTransport, "entry-host")}
 	far := entry(t, "b-1", set, func(w http.ResponseWriter, r *http.Request) {
-		ctx := Receive(context.Background(), Carry(r.Context())) // as net/rpc carries it
+		ctx := FromCarrier(context.Background(), ToCarrier(r.Context())) // as net/rpc carries it
 		_, span := StartClient(ctx, "platform.get")
 		End(span, errors.New("store unavailable"))
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -108,7 +108,7 @@
 	rec := record(t)
 	ctx, heartbeat := StartClient(t.Context(), "heartbeat")
 	must.Eq(t, "", TraceParent(ctx))
-	_, received := StartServer(Receive(t.Context(), Carry(ctx)), "heartbeat")
+	_, received := StartServer(FromCarrier(t.Context(), ToCarrier(ctx)), "heartbeat")
 	received.End()
 	heartbeat.End()
 	must.SliceEmpty(t, rec.Traces())
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -138,15 +138,15 @@
 	return propagation.TraceContext{}.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Carry returns the trace context of ctx for a message that is not HTTP.
-func Carry(ctx context.Context) map[string]string {
+// ToCarrier returns the trace context of ctx for a message that is not HTTP.
+func ToCarrier(ctx context.Context) map[string]string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	return carrier
 }
 
-// Receive returns ctx with the trace context that Carry gave.
-func Receive(ctx context.Context, carried map[string]string) context.Context {
+// FromCarrier returns ctx with the trace context that ToCarrier returned.
+func FromCarrier(ctx context.Context, carried map[string]string) context.Context {
 	return propagation.TraceContext{}.Extract(ctx, propagation.MapCarrier(carried))
 }
 
@@ -158,7 +158,7 @@
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
 	}
-	return Carry(ctx)[traceParentKey]
+	return ToCarrier(ctx)[traceParentKey]
 }
 
 // WithTraceParent returns ctx within the trace that TraceParent told of.
@@ -166,7 +166,7 @@
 	if parent == "" {
 		return ctx
 	}
-	return Receive(ctx, map[string]string{traceParentKey: parent})
+	return FromCarrier(ctx, map[string]string{traceParentKey: parent})
 }
 
 // TraceID returns the ID of ctx's trace in hexadecimal, or "" when it has none.
