--- a/api/api.go
+++ b/api/api.go
@@ -49,14 +49,14 @@
 
 // HostStatus is one entry host as it sees itself.
 type HostStatus struct {
-	Name          string        `json:"name"`
-	FailureDomain string        `json:"failureDomain"`
-	Revision      uint64        `json:"revision"`            // configuration in force on the host
-	ConfirmedAge  time.Duration `json:"confirmedAgeNanos"`   // since the platform last confirmed it
-	Term          uint64        `json:"term,omitempty"`      // set on the failure domain's scheduler
-	Draining      bool          `json:"draining,omitempty"`  // the host is shutting down
-	HeardAge      time.Duration `json:"heardAgeNanos"`       // since its last heartbeat
-	Unreached     string        `json:"unreached,omitempty"` // why a peer did not answer
+	Name              string        `json:"name"`
+	FailureDomain     string        `json:"failureDomain"`
+	Revision          uint64        `json:"revision"`            // configuration in force on the host
+	ConfirmedAge      time.Duration `json:"confirmedAgeNanos"`   // since the platform last confirmed it
+	Term              uint64        `json:"term,omitempty"`      // set on the failure domain's scheduler
+	Draining          bool          `json:"draining,omitempty"`  // the host is shutting down
+	HeartbeatAge      time.Duration `json:"heardAgeNanos"`       // since its last heartbeat
+	UnreachableReason string        `json:"unreached,omitempty"` // why a peer did not answer
 }
 
 // Top is the state of the whole deployment as one entry host sees it.
@@ -77,6 +77,6 @@
 
 	// Deficits tells which guarantees the present hardware cannot back, and why.
 	Deficits []string `json:"deficits,omitempty"`
-	// Unknown tells why jobs and deficits are not known; empty: they are.
-	Unknown string `json:"unknown,omitempty"`
+	// UnknownReason tells why jobs and deficits are not known; empty: they are.
+	UnknownReason string `json:"unknown,omitempty"`
 }
--- a/entryhost/tls_test.go
+++ b/entryhost/tls_test.go
@@ -145,7 +145,7 @@
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&top))
 	heard := map[string]bool{}
 	for _, h := range top.Hosts {
-		heard[h.Name] = h.Unreached == ""
+		heard[h.Name] = h.UnreachableReason == ""
 	}
 	return heard
 }
--- a/entryhost/top.go
+++ b/entryhost/top.go
@@ -47,15 +47,15 @@
 	line := api.HostStatus{Name: p.Name, FailureDomain: p.FailureDomain, Draining: p.Leaving}
 	status, heard := h.slices.membership.Statuses()[p.Name]
 	if !heard {
-		line.Unreached = "no heartbeat from it yet"
+		line.UnreachableReason = "no heartbeat from it yet"
 		return line
 	}
-	line.HeardAge = h.opts.Now().Sub(status.At)
+	line.HeartbeatAge = h.opts.Now().Sub(status.At)
 	line.Revision = status.Revision
-	line.ConfirmedAge = status.RevisionAge + line.HeardAge
+	line.ConfirmedAge = status.RevisionAge + line.HeartbeatAge
 	line.Term = status.Term
 	if h.slices.membership.View().Silent[p.Name] {
-		line.Unreached = "it does not answer"
+		line.UnreachableReason = "it does not answer"
 	}
 	return line
 }
@@ -79,7 +79,7 @@
 	sum, scheduler, err := h.summary(ctx, fd.Name)
 	status.Scheduler = scheduler
 	if err != nil {
-		status.Unknown = err.Error()
+		status.UnknownReason = err.Error()
 		return status
 	}
 	status.Queued = sum.Queued
--- a/internal/cli/requests.go
+++ b/internal/cli/requests.go
@@ -87,8 +87,8 @@
 	var b strings.Builder
 	for _, h := range top.Hosts {
 		fmt.Fprintf(&b, "%-12s %-8s revision %d, confirmed %s ago", h.Name, h.FailureDomain, h.Revision, h.ConfirmedAge.Round(pollInterval/2))
-		if h.HeardAge != 0 {
-			fmt.Fprintf(&b, ", heard %s ago", h.HeardAge.Round(pollInterval/2))
+		if h.HeartbeatAge != 0 {
+			fmt.Fprintf(&b, ", heard %s ago", h.HeartbeatAge.Round(pollInterval/2))
 		}
 		if h.Term != 0 {
 			fmt.Fprintf(&b, ", scheduler under term %d", h.Term)
@@ -96,8 +96,8 @@
 		if h.Draining {
 			b.WriteString(", draining")
 		}
-		if h.Unreached != "" {
-			b.WriteString(", not reached: " + h.Unreached)
+		if h.UnreachableReason != "" {
+			b.WriteString(", not reached: " + h.UnreachableReason)
 		}
 		b.WriteString("\n")
 	}
@@ -107,8 +107,8 @@
 			state = "out"
 		}
 		fmt.Fprintf(&b, "%-12s %-8s %d workers, %d accelerators", d.Name, state, d.Workers, d.Accelerators)
-		if d.Unknown != "" {
-			b.WriteString(", jobs not known: " + d.Unknown + "\n")
+		if d.UnknownReason != "" {
+			b.WriteString(", jobs not known: " + d.UnknownReason + "\n")
 			continue
 		}
 		fmt.Fprintf(&b, ", %d queued, %d running\n", d.Queued, d.Running)
