--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -107,7 +107,7 @@
 // holdLoop sends holds to a runner until it is neither listed nor may run tasks.
 func (l *Leader) holdLoop(ctx context.Context, id string) {
 	wait := time.Duration(0) // the first hold only reads the clock
-	retry := pause.Backoff{First: holdRetryDelay, Most: holdRetryDelayMax}
+	retry := pause.Backoff{Initial: holdRetryDelay, Max: holdRetryDelayMax}
 	for ctx.Err() == nil {
 		to, order, ok := l.nextHold(id, wait)
 		if !ok {
@@ -306,7 +306,7 @@
 
 // stopRun sends a stop order until it is answered or the runner is no longer needed.
 func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
-	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
+	retry := pause.Backoff{Initial: stopRetryDelay, Max: stopRetryDelayMax}
 	for ctx.Err() == nil && l.stopDue(o) {
 		to, known := l.listedRunner(o.Runner.ID)
 		if !known { // run inherited from an earlier term; its runner isn't listed yet
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -96,7 +96,7 @@
 
 // commit retries the transaction until its outcome is clear or the term ends.
 func (l *Leader) commit(ctx context.Context, txn kvstore.Txn) (uint64, bool) {
-	retry := pause.Backoff{First: commitRetryDelay, Most: commitRetryDelayMax}
+	retry := pause.Backoff{Initial: commitRetryDelay, Max: commitRetryDelayMax}
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, commitTimeout)
 		revision, err := l.Store.Commit(call, txn)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -9,8 +9,8 @@
 // Backoff waits longer after each failure in a row. It isn't safe for
 // concurrent use.
 type Backoff struct {
-	First time.Duration // after one failure
-	Most  time.Duration
+	Initial time.Duration // after one failure
+	Max     time.Duration
 
 	next time.Duration
 }
@@ -18,8 +18,8 @@
 // Wait waits for the pause that is due and doubles the next one. It returns
 // false when ctx ended first.
 func (b *Backoff) Wait(ctx context.Context) bool {
-	due := max(b.next, b.First)
-	b.next = min(2*due, b.Most)
+	due := max(b.next, b.Initial)
+	b.next = min(2*due, b.Max)
 	return For(ctx, due)
 }
 
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -14,7 +14,7 @@
 // Pauses double up to their limit and begin anew after a success.
 func TestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := pause.Backoff{First: 100 * time.Millisecond, Most: 300 * time.Millisecond}
+		b := pause.Backoff{Initial: 100 * time.Millisecond, Max: 300 * time.Millisecond}
 		for _, want := range []time.Duration{100, 200, 300, 300} {
 			began := time.Now()
 			must.True(t, b.Wait(t.Context()))
@@ -31,6 +31,6 @@
 func TestBackoffEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	b := pause.Backoff{First: time.Hour, Most: time.Hour}
+	b := pause.Backoff{Initial: time.Hour, Max: time.Hour}
 	must.False(t, b.Wait(ctx))
 }
--- a/kvstore/follow.go
+++ b/kvstore/follow.go
@@ -51,7 +51,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	var after uint64
 	lost := true
-	retry := pause.Backoff{First: followRetry, Most: followMax}
+	retry := pause.Backoff{Initial: followRetry, Max: followMax}
 	for ctx.Err() == nil {
 		if f.Asking != nil {
 			f.Asking()
