--- a/dev/session_test.go
+++ b/dev/session_test.go
@@ -32,12 +32,12 @@
 
 // What differs from run to run.
 var rules = []golden.Rule{
-	{Pattern: regexp.MustCompile(`\d{4}-\d\d-\d\dT[0-9:.]+Z`), Mark: "TIME"},
-	{Pattern: regexp.MustCompile(`fd-[ab]-[a-z-]+-u\d`), Mark: "UPSTREAM"},
-	{Pattern: regexp.MustCompile(`fd-[ab]-w\d\d`), Mark: "WORKER"},
-	{Pattern: regexp.MustCompile(`fd-[ab]-r\d`), Mark: "RACK"},
-	{Pattern: regexp.MustCompile(`"execution":\d+`), Mark: `"execution":N`},
-	{Pattern: regexp.MustCompile(`/tmp/\S+/`), Mark: "DIR/"},
+	{Pattern: regexp.MustCompile(`\d{4}-\d\d-\d\dT[0-9:.]+Z`), Placeholder: "TIME"},
+	{Pattern: regexp.MustCompile(`fd-[ab]-[a-z-]+-u\d`), Placeholder: "UPSTREAM"},
+	{Pattern: regexp.MustCompile(`fd-[ab]-w\d\d`), Placeholder: "WORKER"},
+	{Pattern: regexp.MustCompile(`fd-[ab]-r\d`), Placeholder: "RACK"},
+	{Pattern: regexp.MustCompile(`"execution":\d+`), Placeholder: `"execution":N`},
+	{Pattern: regexp.MustCompile(`/tmp/\S+/`), Placeholder: "DIR/"},
 }
 
 // session is a transcript of command lines against a deployment.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -74,8 +74,8 @@
 
 // Rule replaces text that differs from run to run by a fixed mark.
 type Rule struct {
-	Pattern *regexp.Regexp
-	Mark    string
+	Pattern     *regexp.Regexp
+	Placeholder string
 }
 
 // The rules for text that no run repeats.
@@ -88,7 +88,7 @@
 // Scrub applies rules in order.
 func Scrub(text string, rules ...Rule) string {
 	for _, r := range rules {
-		text = r.Pattern.ReplaceAllString(text, r.Mark)
+		text = r.Pattern.ReplaceAllString(text, r.Placeholder)
 	}
 	return text
 }
