--- a/api/api.go
+++ b/api/api.go
@@ -1,5 +1,6 @@
-// Package api holds the messages of an entry host's HTTP interface that belong
-// to no single slice.
+// Package api defines the messages and header names of an entry host's HTTP
+// interface that are shared by several packages. The entry host writes them; the
+// client and the command line read them. It holds no state.
 package api
 
 import (
@@ -10,16 +11,16 @@
 	"github.com/cyclamentray/cyclamentray/job"
 )
 
-// Header names of the HTTP interface.
+// Names of HTTP headers.
 const (
 	HeaderOutcome        = "Cyclamentray-Outcome"
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// ApplyRequest asks for documents to be put in force together.
+// ApplyRequest asks to put documents in force atomically.
 type ApplyRequest struct {
 	Documents []json.RawMessage `json:"documents"`        // each with its "kind"
-	Expected  uint64            `json:"expectedRevision"` // 0: whatever is in force
+	Expected  uint64            `json:"expectedRevision"` // revision that must be in force; 0: any
 }
 
 // ConfigReply is the configuration in force on the host that answers.
@@ -29,9 +30,9 @@
 	Retired   map[string]uint64 `json:"retired"` // service to the revision that retired it
 }
 
-// EditReply tells the revision at which an edit was accepted.
+// EditReply is the reply to an accepted edit.
 type EditReply struct {
-	Revision uint64 `json:"revision"`
+	Revision uint64 `json:"revision"` // at which the edit was accepted
 }
 
 // Explanation tells a caller why its job waits or what became of it.
@@ -47,13 +48,13 @@
 	Jobs []job.Record `json:"jobs"`
 }
 
-// HostStatus is one entry host as it sees itself.
+// HostStatus is the status of one entry host as the host itself reports it.
 type HostStatus struct {
 	Name              string        `json:"name"`
 	FailureDomain     string        `json:"failureDomain"`
 	Revision          uint64        `json:"revision"`            // configuration in force on the host
 	ConfirmedAge      time.Duration `json:"confirmedAgeNanos"`   // since the platform last confirmed it
-	Term              uint64        `json:"term,omitempty"`      // set on the failure domain's scheduler
+	Term              uint64        `json:"term,omitempty"`      // term under which the host is the scheduler; 0: it is not
 	Draining          bool          `json:"draining,omitempty"`  // the host is shutting down
 	HeartbeatAge      time.Duration `json:"heardAgeNanos"`       // since its last heartbeat
 	UnreachableReason string        `json:"unreached,omitempty"` // why a peer did not answer
@@ -75,8 +76,8 @@
 	Running      int    `json:"running"`
 	Scheduler    string `json:"scheduler,omitempty"` // entry host that holds the term; empty: none is known
 
-	// Deficits tells which guarantees the present hardware cannot back, and why.
+	// Deficits lists the guarantees that the available hardware cannot satisfy, and why.
 	Deficits []string `json:"deficits,omitempty"`
-	// UnknownReason tells why jobs and deficits are not known; empty: they are.
+	// UnknownReason is why jobs and deficits are unknown; empty: they are known.
 	UnknownReason string `json:"unknown,omitempty"`
 }
--- a/apierr/apierr.go
+++ b/apierr/apierr.go
@@ -1,5 +1,7 @@
-// Package apierr holds the typed errors that every slice returns to callers and
-// operators. Each error names its kind, the field at fault and the remedy.
+// Package apierr defines the typed error that packages return to callers and
+// operators. Each error has a kind, the field at fault and a remedy. The kind
+// determines the HTTP status and the exit code of the command line. The package
+// holds no state.
 package apierr
 
 import (
@@ -10,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind classifies an error for programs.
+// Kind classifies errors for programs; its values are part of the HTTP interface.
 type Kind string
 
 // The kinds of error.
@@ -65,9 +67,9 @@
 	return &Error{Kind: InvalidInput, Field: field, Message: message, Remedy: remedy}
 }
 
-// Join returns nil for no mistakes, the mistake itself for one, and one error
-// that carries them all for several. Details of joined mistakes stand beside
-// the others, so that joining twice makes no nesting.
+// Join returns nil for no mistakes, the mistake itself for one, and an error
+// with all of them as Details for several. Mistakes that have Details are
+// replaced by these, so that joining twice does not nest.
 func Join(mistakes []*Error) *Error {
 	var flat []*Error
 	for _, m := range mistakes {
@@ -88,7 +90,7 @@
 	}
 }
 
-// Flatten returns the single mistakes that err carries.
+// Flatten returns the Details of err's typed error, or that error alone if it has none.
 func Flatten(err error) []*Error {
 	e := From(err)
 	if len(e.Details) == 0 {
@@ -97,7 +99,7 @@
 	return e.Details
 }
 
-// Error returns the message followed by the remedy.
+// Error returns file, line, field, message, remedy and details as text.
 func (e *Error) Error() string {
 	var b strings.Builder
 	if e.File != "" {
@@ -120,7 +122,7 @@
 	return b.String()
 }
 
-// Status returns the HTTP status code that answers the error.
+// Status returns the HTTP status code for the error's kind.
 func (e *Error) Status() int {
 	if s, ok := statusByKind[e.Kind]; ok {
 		return s
@@ -128,7 +130,8 @@
 	return http.StatusInternalServerError
 }
 
-// From finds the typed error in err's chain, or wraps err as Internal.
+// From returns the typed error in err's chain, or a new Internal error with
+// err's message.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/auth/auth.go
+++ b/auth/auth.go
@@ -18,7 +18,8 @@
 // Hash is the SHA-256 of a token.
 type Hash [sha256.Size]byte
 
-// HashToken returns a token's hash as documents and settings hold it.
+// HashToken returns the SHA-256 of a token in hexadecimal, the form that
+// documents and settings use.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
@@ -34,7 +35,7 @@
 	return h, true
 }
 
-// Credential is a hash and whom it stands for.
+// Credential is the hash of a token and the identity that the token proves.
 type Credential struct {
 	Hash     Hash
 	Identity Identity
@@ -49,7 +50,7 @@
 	Metrics        *metrics.Set
 }
 
-// Authenticator finds out who sends a request. It is safe for concurrent use.
+// Authenticator determines who sent a request. It is safe for concurrent use.
 type Authenticator struct {
 	options   Options
 	operators []Credential
@@ -67,26 +68,26 @@
 	return a
 }
 
-// Authenticate returns the identity that a token stands for. It compares with
-// every candidate in constant time, so that its duration tells nothing about
-// which hash came near.
+// Authenticate returns the identity that a token proves. It compares the
+// token's hash with every candidate in constant time, so that its duration does
+// not reveal which hashes are close to it.
 func (a *Authenticator) Authenticate(token string) (Identity, bool) {
-	if token == "" { // whose hash a document may hold by mistake
+	if token == "" { // a document may hold the hash of the empty token by mistake
 		return Identity{}, false
 	}
 	sum := Hash(sha256.Sum256([]byte(token)))
-	id, found := match(sum, a.operators)
+	id, found := matchCredential(sum, a.operators)
 	if a.options.Credentials == nil {
 		return id, found
 	}
-	org, orgFound := match(sum, a.options.Credentials())
+	org, orgFound := matchCredential(sum, a.options.Credentials())
 	if found {
 		return id, true
 	}
 	return org, orgFound
 }
 
-func match(sum Hash, candidates []Credential) (Identity, bool) {
+func matchCredential(sum Hash, candidates []Credential) (Identity, bool) {
 	at := -1
 	for i := range candidates {
 		equal := subtle.ConstantTimeCompare(sum[:], candidates[i].Hash[:])
@@ -98,26 +99,26 @@
 	return candidates[at].Identity, true
 }
 
-// Middleware refuses requests without a valid token, and puts the sender's
-// identity in the context of the others.
+// Middleware rejects requests without a valid token, and puts the sender's
+// identity in the context of all others.
 func (a *Authenticator) Middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if a.public(r.URL.Path) {
+		if a.isPublic(r.URL.Path) {
 			next.ServeHTTP(w, r)
 			return
 		}
-		id, ok := a.Authenticate(bearer(r))
+		id, ok := a.Authenticate(bearerToken(r))
 		if !ok {
-			a.refuse(w, r)
+			a.rejectRequest(w, r)
 			return
 		}
 		inner := r.WithContext(WithIdentity(r.Context(), id))
 		next.ServeHTTP(w, inner)
-		r.Pattern = inner.Pattern // lets outer middleware name the route
+		r.Pattern = inner.Pattern // outer middleware labels its metrics and spans by route
 	})
 }
 
-func (a *Authenticator) public(path string) bool {
+func (a *Authenticator) isPublic(path string) bool {
 	for _, p := range a.options.Public {
 		if p == path {
 			return true
@@ -126,7 +127,7 @@
 	return false
 }
 
-func (a *Authenticator) refuse(w http.ResponseWriter, r *http.Request) {
+func (a *Authenticator) rejectRequest(w http.ResponseWriter, r *http.Request) {
 	a.refused.Inc()
 	if a.options.Logger != nil {
 		a.options.Logger.Warn("refused a request without a valid token", "from", r.RemoteAddr)
@@ -139,8 +140,8 @@
 	return apierr.New(apierr.Unauthenticated, "no valid token", "send Authorization: Bearer TOKEN with a token of your organisation or an operator's")
 }
 
-// bearer returns the request's token, or "".
-func bearer(r *http.Request) string {
+// bearerToken returns the token of the Authorization header, or "".
+func bearerToken(r *http.Request) string {
 	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") {
 		return ""
--- a/auth/auth_test.go
+++ b/auth/auth_test.go
@@ -63,7 +63,7 @@
 			refusals[w.Body.String()] = true
 		}
 	}
-	must.MapLen(t, 1, refusals, must.Sprint("every refusal reads the same"))
+	must.MapLen(t, 1, refusals, must.Sprint("all 401 responses must have the same body"))
 }
 
 func TestRequireOperator(t *testing.T) {
--- a/auth/identity.go
+++ b/auth/identity.go
@@ -1,4 +1,8 @@
-// Package auth tells who a request comes from and what it may see.
+// Package auth authenticates requests by bearer token and connections by TLS
+// certificate. An Authenticator holds the hashes of operators' tokens and reads
+// those of organisations from Options.Credentials; Keys hold the certificates of one
+// listener and reload them from files. The entry host installs both; the HTTP
+// handlers of other packages read the sender's Identity from the context.
 package auth
 
 import "context"
--- a/auth/keys.go
+++ b/auth/keys.go
@@ -15,8 +15,8 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-// PeerName is the DNS name that every entry host's certificate holds. Hosts are
-// replaced at any time, so their certificates do not name addresses.
+// PeerName is the DNS name in every entry host's certificate. Hosts may be
+// replaced at any time, so their certificates do not contain addresses.
 const PeerName = "cyclamentray-entry"
 
 // KeyOptions name the PEM files of one listener.
@@ -24,31 +24,31 @@
 	Listener string // "http" or "peer", for logs and metrics
 	CertFile string
 	KeyFile  string
-	CAFile   string // empty: the other side's certificate is not asked for
-	Interval time.Duration
+	CAFile   string        // empty: no client certificate is required
+	Interval time.Duration // between checks for changed files
 	Logger   *log.Logger
 	Metrics  *metrics.Set
 }
 
-// Keys holds a listener's certificate and authorities, and takes up changed
-// files without a restart. It is safe for concurrent use.
+// Keys holds a listener's certificate and certificate authorities, and reloads
+// changed files without a restart. It is safe for concurrent use.
 type Keys struct {
 	options  KeyOptions
 	failures *metrics.Counter
 
 	mu      sync.Mutex
-	files   [3][]byte // contents of the files of current
+	files   [3][]byte // contents of CertFile, KeyFile and CAFile that current was parsed from
 	current *keySet
 }
 
-// keySet is immutable once published.
+// keySet is the parsed content of the key files. It is immutable once published.
 type keySet struct {
 	certificate *tls.Certificate
 	authorities *x509.CertPool // nil: none
 	expires     time.Time
 }
 
-// LoadKeys reads the files; all of them must be good.
+// LoadKeys reads the files of o. It returns an error unless all of them are valid.
 func LoadKeys(o KeyOptions) (*Keys, error) {
 	label := `{listener="` + o.Listener + `"}`
 	k := &Keys{options: o, failures: o.Metrics.GetOrCreateCounter("cyclamentray_auth_key_reload_failures_total" + label)}
@@ -56,13 +56,14 @@
 		return nil, err
 	}
 	o.Metrics.GetOrCreateGauge("cyclamentray_auth_certificate_expires_seconds"+label, func() float64 {
-		return float64(k.keys().expires.Unix())
+		return float64(k.currentKeys().expires.Unix())
 	})
 	return k, nil
 }
 
-// Run looks for changed files until ctx ends. Bad files leave the keys as they
-// were: a pair may be half replaced, so the next look tries again.
+// Run checks for changed files every Interval until ctx ends. Invalid files
+// leave the current keys in use, and the next check retries: certificate and key
+// are replaced one after the other, so a check may see a pair that does not match.
 func (k *Keys) Run(ctx context.Context) error {
 	tick := time.NewTicker(k.options.Interval)
 	defer tick.Stop()
@@ -71,34 +72,34 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			k.look()
+			k.reloadIfChanged()
 		}
 	}
 }
 
-func (k *Keys) look() {
+func (k *Keys) reloadIfChanged() {
 	changed, err := k.Reload()
 	switch {
 	case err != nil:
 		k.failures.Inc()
-		k.options.Logger.Error("cannot take up changed keys; the old ones stay in use", "listener", k.options.Listener, "err", err)
+		k.options.Logger.Error("cannot load changed key files; keeping the previous keys", "listener", k.options.Listener, "err", err)
 	case changed:
-		k.options.Logger.Info("took up changed keys", "listener", k.options.Listener, "expires", k.keys().expires)
+		k.options.Logger.Info("loaded changed key files", "listener", k.options.Listener, "expires", k.currentKeys().expires)
 	}
 }
 
-// Reload reads the files and puts them in use if they changed and are good.
+// Reload reads the files and starts using them if they changed and are valid.
 func (k *Keys) Reload() (changed bool, err error) {
-	files, err := k.read()
+	files, err := k.readFiles()
 	if err != nil {
 		return false, err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.current != nil && same(files, k.files) {
+	if k.current != nil && equalContents(files, k.files) {
 		return false, nil
 	}
-	next, err := k.parse(files)
+	next, err := k.parseFiles(files)
 	if err != nil {
 		return false, err
 	}
@@ -106,7 +107,7 @@
 	return true, nil
 }
 
-func same(a, b [3][]byte) bool {
+func equalContents(a, b [3][]byte) bool {
 	for i := range a {
 		if !bytes.Equal(a[i], b[i]) {
 			return false
@@ -115,22 +116,22 @@
 	return true
 }
 
-func (k *Keys) read() (files [3][]byte, err error) {
+func (k *Keys) readFiles() (files [3][]byte, err error) {
 	for i, name := range []string{k.options.CertFile, k.options.KeyFile, k.options.CAFile} {
 		if name == "" {
 			continue
 		}
 		if files[i], err = os.ReadFile(name); err != nil {
-			return files, badKeys(name, err.Error())
+			return files, keyFileError(name, err.Error())
 		}
 	}
 	return files, nil
 }
 
-func (k *Keys) parse(files [3][]byte) (*keySet, error) {
+func (k *Keys) parseFiles(files [3][]byte) (*keySet, error) {
 	pair, err := tls.X509KeyPair(files[0], files[1])
 	if err != nil {
-		return nil, badKeys(k.options.CertFile, err.Error())
+		return nil, keyFileError(k.options.CertFile, err.Error())
 	}
 	next := &keySet{certificate: &pair, expires: pair.Leaf.NotAfter}
 	if files[2] == nil {
@@ -138,30 +139,31 @@
 	}
 	next.authorities = x509.NewCertPool()
 	if !next.authorities.AppendCertsFromPEM(files[2]) {
-		return nil, badKeys(k.options.CAFile, "holds no certificate")
+		return nil, keyFileError(k.options.CAFile, "holds no certificate")
 	}
 	return next, nil
 }
 
-func badKeys(file, message string) *apierr.Error {
+func keyFileError(file, message string) *apierr.Error {
 	e := apierr.Invalid("", message, "put matching PEM files of certificate, key and authorities in place")
 	e.File = file
 	return e
 }
 
-func (k *Keys) keys() *keySet {
+func (k *Keys) currentKeys() *keySet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.current
 }
 
-// ServerConfig returns the TLS configuration of the HTTP listener. With a file
-// of authorities, callers must show a certificate that one of them signed.
+// ServerConfig returns the TLS configuration of the HTTP listener. If
+// KeyOptions.CAFile is set, callers must present a certificate signed by one of
+// its authorities.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return k.keys().serverConfig(), nil
+			return k.currentKeys().serverConfig(), nil
 		},
 	}
 }
@@ -171,7 +173,7 @@
 		MinVersion:             tls.VersionTLS13,
 		Certificates:           []tls.Certificate{*s.certificate},
 		NextProtos:             []string{"http/1.1"},
-		SessionTicketsDisabled: true, // a ticket would outlive a withdrawn authority
+		SessionTicketsDisabled: true, // a session ticket would remain valid after its authority is removed
 	}
 	if s.authorities != nil {
 		c.ClientAuth = tls.RequireAndVerifyClientCert
@@ -180,22 +182,22 @@
 	return c
 }
 
-// PeerConfig returns the TLS configuration of both sides of a connection
-// between entry hosts. Each side must show a certificate for PeerName that an
-// authority signed. It needs KeyOptions.CAFile.
+// PeerConfig returns the TLS configuration for both sides of a connection
+// between entry hosts. Each side must present a certificate for PeerName signed
+// by one of the authorities. It requires KeyOptions.CAFile.
 func (k *Keys) PeerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.keys().certificate, nil
+			return k.currentKeys().certificate, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return k.keys().certificate, nil
+			return k.currentKeys().certificate, nil
 		},
 		ClientAuth: tls.RequireAnyClientCert,
-		// verifyPeer does the whole check on both sides, against the
-		// authorities in force at that moment, which RootCAs cannot follow.
+		// verifyPeer does the full verification on both sides against the
+		// current authorities. RootCAs is fixed and would miss a reload.
 		InsecureSkipVerify: true,
 		VerifyConnection:   k.verifyPeer,
 	}
@@ -211,7 +213,7 @@
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		DNSName:       PeerName,
-		Roots:         k.keys().authorities,
+		Roots:         k.currentKeys().authorities,
 		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	})
--- a/auth/keys_test.go
+++ b/auth/keys_test.go
@@ -43,7 +43,7 @@
 	must.NoError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	must.NoError(t, err)
-	return &authority{cert: cert, key: key, pem: encode("CERTIFICATE", der)}
+	return &authority{cert: cert, key: key, pem: encodePEM("CERTIFICATE", der)}
 }
 
 func newKey(t *testing.T) *ecdsa.PrivateKey {
@@ -52,11 +52,11 @@
 	return key
 }
 
-func encode(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// issue returns a certificate for name and 127.0.0.1, and its key.
+// issue returns a certificate for name and 127.0.0.1, and its private key.
 func (a *authority) issue(t *testing.T, serial int64, name string) (cert, key []byte) {
 	k := newKey(t)
 	template := &x509.Certificate{
@@ -68,36 +68,36 @@
 	must.NoError(t, err)
 	keyDER, err := x509.MarshalECPrivateKey(k)
 	must.NoError(t, err)
-	return encode("CERTIFICATE", der), encode("EC PRIVATE KEY", keyDER)
+	return encodePEM("CERTIFICATE", der), encodePEM("EC PRIVATE KEY", keyDER)
 }
 
-// keyFiles writes PEM files and returns options that name them.
-func keyFiles(t *testing.T, cert, key, ca []byte) KeyOptions {
+// writeKeyFiles writes PEM files and returns options that name them.
+func writeKeyFiles(t *testing.T, cert, key, ca []byte) KeyOptions {
 	dir := t.TempDir()
 	o := KeyOptions{
 		Listener: "test", Interval: time.Millisecond, Logger: log.New(io.Discard), Metrics: metrics.NewSet(),
 		CertFile: filepath.Join(dir, "cert.pem"), KeyFile: filepath.Join(dir, "key.pem"),
 	}
-	write(t, o.CertFile, cert)
-	write(t, o.KeyFile, key)
+	writeFile(t, o.CertFile, cert)
+	writeFile(t, o.KeyFile, key)
 	if ca != nil {
 		o.CAFile = filepath.Join(dir, "ca.pem")
-		write(t, o.CAFile, ca)
+		writeFile(t, o.CAFile, ca)
 	}
 	return o
 }
 
-func write(t *testing.T, file string, data []byte) {
+func writeFile(t *testing.T, file string, data []byte) {
 	must.NoError(t, os.WriteFile(file, data, 0o600))
 }
 
-func load(t *testing.T, o KeyOptions) *Keys {
+func loadKeys(t *testing.T, o KeyOptions) *Keys {
 	k, err := LoadKeys(o)
 	must.NoError(t, err)
 	return k
 }
 
-// handshake connects two hosts and returns the errors of both sides.
+// handshake connects two peers and returns the error of each side.
 func handshake(t *testing.T, server, client *Keys) (serverErr, clientErr error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server.PeerConfig())
 	must.NoError(t, err)
@@ -113,7 +113,7 @@
 	}()
 	conn, clientErr := tls.Dial("tcp", l.Addr().String(), client.PeerConfig())
 	if clientErr == nil {
-		_, clientErr = conn.Read(make([]byte, 1)) // the server's verdict on the client arrives here
+		_, clientErr = conn.Read(make([]byte, 1)) // fails if the server rejected the client's certificate
 		_ = conn.Close()
 	}
 	return <-done, clientErr
@@ -123,27 +123,27 @@
 	ours, theirs := newAuthority(t), newAuthority(t)
 	host := func(signer *authority, name string) *Keys {
 		cert, key := signer.issue(t, 1, name)
-		return load(t, keyFiles(t, cert, key, ours.pem))
+		return loadKeys(t, writeKeyFiles(t, cert, key, ours.pem))
 	}
 	good, good2 := host(ours, PeerName), host(ours, PeerName)
-	stranger, otherDuty := host(theirs, PeerName), host(ours, "upstream")
+	untrusted, wrongName := host(theirs, PeerName), host(ours, "upstream")
 
 	s, c := handshake(t, good, good2)
 	must.NoError(t, s)
 	must.NoError(t, c)
-	for _, bad := range []*Keys{stranger, otherDuty} {
+	for _, bad := range []*Keys{untrusted, wrongName} {
 		s, _ = handshake(t, good, bad)
-		must.Error(t, s, must.Sprint("the server took a bad client"))
+		must.Error(t, s, must.Sprint("the server accepted an invalid client certificate"))
 		_, c = handshake(t, bad, good)
-		must.Error(t, c, must.Sprint("the client took a bad server"))
+		must.Error(t, c, must.Sprint("the client accepted an invalid server certificate"))
 	}
 }
 
-func TestKeys_ChangedFilesAreTakenUpWithoutRestart(t *testing.T) {
+func TestKeys_ReloadsChangedFilesWithoutRestart(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, 1, "entry")
-	o := keyFiles(t, cert, key, nil)
-	k := load(t, o)
+	o := writeKeyFiles(t, cert, key, nil)
+	k := loadKeys(t, o)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- k.Run(ctx) }()
@@ -152,21 +152,21 @@
 	server.TLS = k.ServerConfig()
 	server.StartTLS()
 	defer server.Close()
-	must.Eq(t, 1, serial(t, ca, server))
+	must.Eq(t, 1, servedSerial(t, ca, server))
 
 	cert, key = ca.issue(t, 2, "entry")
-	write(t, o.CertFile, cert) // half a pair: the old keys stay
+	writeFile(t, o.CertFile, cert) // does not match key.pem yet: the old pair stays in use
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return k.failures.Get() > 0 }), wait.Timeout(time.Minute), wait.Gap(time.Millisecond)))
-	must.Eq(t, 1, serial(t, ca, server))
+	must.Eq(t, 1, servedSerial(t, ca, server))
 
-	write(t, o.KeyFile, key)
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return serial(t, ca, server) == 2 }), wait.Timeout(time.Minute), wait.Gap(time.Millisecond)))
+	writeFile(t, o.KeyFile, key)
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return servedSerial(t, ca, server) == 2 }), wait.Timeout(time.Minute), wait.Gap(time.Millisecond)))
 	stop()
 	must.NoError(t, <-ended)
 }
 
-// serial returns the serial number of the certificate that a new connection sees.
-func serial(t *testing.T, ca *authority, server *httptest.Server) int64 {
+// servedSerial returns the serial number of the certificate that a new connection sees.
+func servedSerial(t *testing.T, ca *authority, server *httptest.Server) int64 {
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.cert)
 	conn, err := tls.Dial("tcp", server.Listener.Addr().String(), &tls.Config{RootCAs: pool})
@@ -175,12 +175,12 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
 
-func TestServerConfig_AsksForCallersCertificateWhenAuthoritiesAreNamed(t *testing.T) {
+func TestServerConfig_RequiresClientCertificateWhenCAFileIsSet(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, 1, "entry")
 	server := httptest.NewUnstartedServer(http.NotFoundHandler())
 	server.Config.ErrorLog = log.New(io.Discard).StandardLog()
-	server.TLS = load(t, keyFiles(t, cert, key, ca.pem)).ServerConfig()
+	server.TLS = loadKeys(t, writeKeyFiles(t, cert, key, ca.pem)).ServerConfig()
 	server.StartTLS()
 	defer server.Close()
 
@@ -202,8 +202,8 @@
 func TestLoadKeys_BadFilesNameTheFileAndRemedy(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, 1, "entry")
-	_, err := LoadKeys(keyFiles(t, cert, []byte("no key"), nil))
+	_, err := LoadKeys(writeKeyFiles(t, cert, []byte("no key"), nil))
 	must.ErrorContains(t, err, "cert.pem")
-	_, err = LoadKeys(keyFiles(t, cert, key, []byte("no certificate")))
+	_, err = LoadKeys(writeKeyFiles(t, cert, key, []byte("no certificate")))
 	must.ErrorContains(t, err, "ca.pem: holds no certificate; put matching PEM files")
 }
