--- a/client/client.go
+++ b/client/client.go
@@ -1,4 +1,6 @@
 // Package client calls an entry host's HTTP interface for callers and operators.
+// The command line, package dev and tests use it. A Client holds the host's
+// address and a token, and no other state.
 package client
 
 import (
@@ -28,25 +30,25 @@
 
 // Client calls one entry host. It is safe for concurrent use.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL string
+	token   string
+	http    *http.Client
 }
 
 // New returns a client of the entry host at base, such as
-// "http://127.0.0.1:7070", that presents token.
+// "http://127.0.0.1:7070", that authenticates with token.
 func New(base, token string) *Client {
 	transport := telemetry.Transport(http.DefaultTransport, "entry host")
 	return NewWithHTTP(base, token, &http.Client{Transport: transport, Timeout: callTimeout})
 }
 
-// NewWithHTTP is New with a caller's own HTTP client, for TLS.
+// NewWithHTTP is like New but sends requests with hc, for instance to use TLS.
 func NewWithHTTP(base, token string, hc *http.Client) *Client {
-	return &Client{base: strings.TrimSuffix(base, "/"), token: token, http: hc}
+	return &Client{baseURL: strings.TrimSuffix(base, "/"), token: token, http: hc}
 }
 
-// Submit submits a job and returns its record. Submitting the same job again
-// finds the first.
+// Submit submits a job and returns its record. It is idempotent: submitting the
+// same job again returns the record of the existing job.
 func (c *Client) Submit(ctx context.Context, spec job.Spec) (job.Record, error) {
 	var rec job.Record
 	err := c.call(ctx, http.MethodPost, "/v1/jobs", spec, &rec)
@@ -71,29 +73,29 @@
 	return list, err
 }
 
-// Cancel asks for a job to end and returns its record.
+// Cancel requests the cancellation of a job and returns its record.
 func (c *Client) Cancel(ctx context.Context, id job.ID) (job.Record, error) {
 	var rec job.Record
 	err := c.call(ctx, http.MethodDelete, jobPath(id), nil, &rec)
 	return rec, err
 }
 
-// Explain returns why a job waits or what became of it.
+// Explain returns why a job is waiting or how it ended.
 func (c *Client) Explain(ctx context.Context, id job.ID) (api.Explanation, error) {
 	var why api.Explanation
 	err := c.call(ctx, http.MethodGet, jobPath(id)+"/explain", nil, &why)
 	return why, err
 }
 
-// Apply puts documents in force together. It returns a Conflict error when
-// another operator's edit came first.
+// Apply puts documents in force atomically. It returns a Conflict error if another
+// operator's edit came first.
 func (c *Client) Apply(ctx context.Context, req api.ApplyRequest) (api.EditReply, error) {
 	var reply api.EditReply
 	err := c.call(ctx, http.MethodPost, "/v1/config", req, &reply)
 	return reply, err
 }
 
-// Retire retires a service for good.
+// Retire retires a service permanently.
 func (c *Client) Retire(ctx context.Context, service string) (api.EditReply, error) {
 	var reply api.EditReply
 	err := c.call(ctx, http.MethodPost, "/v1/services/"+url.PathEscape(service)+"/retire", nil, &reply)
@@ -118,14 +120,14 @@
 	return reply, err
 }
 
-// Top returns the deployment as the entry host sees it.
+// Top returns the state of the deployment as seen by the entry host.
 func (c *Client) Top(ctx context.Context) (api.Top, error) {
 	var top api.Top
 	err := c.call(ctx, http.MethodGet, "/v1/top", nil, &top)
 	return top, err
 }
 
-// Outcome returns the outcome of an idempotency key, as JSON.
+// Outcome returns the outcome of the request with an idempotency key, as JSON.
 func (c *Client) Outcome(ctx context.Context, service, key string) (json.RawMessage, error) {
 	var raw json.RawMessage
 	path := "/v1/services/" + url.PathEscape(service) + "/outcomes/" + url.PathEscape(key)
@@ -133,17 +135,19 @@
 	return raw, err
 }
 
-// Answer is an upstream's answer to a request.
+// Answer is the response to a request sent to a service. Outcome is the
+// response's Cyclamentray-Outcome header.
 type Answer struct {
 	Status  int    `json:"status"`
 	Outcome string `json:"outcome"`
 	Body    []byte `json:"body"`
 }
 
-// Request sends a request to a service. An empty key sends none.
+// Request sends a request to a service. An empty key sends no idempotency key.
+// When it is not known whether the request ran, the error is OutcomeUnknown.
 func (c *Client) Request(ctx context.Context, method, service, path, key string, body []byte) (Answer, error) {
 	target := "/v1/services/" + url.PathEscape(service) + "/requests/" + strings.TrimPrefix(path, "/")
-	req, err := c.request(ctx, method, target, body)
+	req, err := c.newRequest(ctx, method, target, body)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -152,12 +156,12 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, unanswered(err)
+		return Answer{}, noAnswerError(err)
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return Answer{}, unknown("the answer was cut: " + err.Error())
+		return Answer{}, outcomeUnknownError("the answer was cut: " + err.Error())
 	}
 	return Answer{Status: resp.StatusCode, Outcome: resp.Header.Get(api.HeaderOutcome), Body: answer}, nil
 }
@@ -166,8 +170,8 @@
 	return "/v1/jobs/" + url.PathEscape(id.Organisation) + "/" + url.PathEscape(id.Service) + "/" + url.PathEscape(id.Name)
 }
 
-func (c *Client) request(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+func (c *Client) newRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, apierr.New(apierr.InvalidInput, err.Error(), "check the address and the path")
 	}
@@ -186,7 +190,7 @@
 		}
 		body = encoded
 	}
-	req, err := c.request(ctx, method, path, body)
+	req, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -195,16 +199,16 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return unreachable(err)
+		return unreachableError(err)
 	}
 	defer resp.Body.Close()
-	return decode(resp, reply)
+	return decodeReply(resp, reply)
 }
 
-func decode(resp *http.Response, reply any) error {
+func decodeReply(resp *http.Response, reply any) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return unreachable(err)
+		return unreachableError(err)
 	}
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return errors.Wrap(json.Unmarshal(body, reply), "decoding the answer")
@@ -212,22 +216,22 @@
 	return httpjson.ReadError(resp.StatusCode, body)
 }
 
-func unreachable(err error) error {
+func unreachableError(err error) error {
 	return apierr.New(apierr.Unavailable, "no answer from the entry host: "+err.Error(),
 		"check the address, or try another entry host")
 }
 
-// unanswered returns the error of a request that got no answer: only one that
-// found no connection surely did not run.
-func unanswered(err error) error {
+// noAnswerError returns the error of a request without a response. Only a request
+// whose connection could not be established is known not to have run.
+func noAnswerError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return unreachable(err)
+		return unreachableError(err)
 	}
-	return unknown("no answer from the entry host: " + err.Error())
+	return outcomeUnknownError("no answer from the entry host: " + err.Error())
 }
 
-func unknown(message string) error {
+func outcomeUnknownError(message string) error {
 	return apierr.New(apierr.OutcomeUnknown, message,
 		"ask for the outcome of its idempotency key before sending it again")
 }
--- a/settings/check.go
+++ b/settings/check.go
@@ -6,7 +6,7 @@
 	"github.com/cyclamentray/cyclamentray/apierr"
 )
 
-// checker gathers the mistakes that concern several fields at once.
+// checker collects the mistakes that involve several fields.
 type checker struct {
 	file     string
 	lines    map[string]int
@@ -20,40 +20,41 @@
 	c.mistakes = append(c.mistakes, e)
 }
 
-// check finds mistakes between fields, and fills in addresses that follow from
-// others.
+// check validates the fields that depend on each other, and fills in advertised
+// addresses that are left empty.
 func (s *Settings) check(file string, lines map[string]int) []*apierr.Error {
 	c := &checker{file: file, lines: lines}
-	s.fillAdvertise(c)
-	c.keyFiles("tls.http", s.TLS.HTTP, false)
-	c.keyFiles("tls.peer", s.TLS.Peer, true)
+	s.fillAdvertisedAddresses(c)
+	c.checkKeyFiles("tls.http", s.TLS.HTTP, false)
+	c.checkKeyFiles("tls.peer", s.TLS.Peer, true)
 	if s.Trace.Exporter == ExportOTLP && s.Trace.Endpoint == "" {
 		c.add("trace.endpoint", "exporter otlp needs an endpoint", "write the collector's URL, such as http://192.0.2.9:4318/v1/traces")
 	}
 	return c.mistakes
 }
 
-func (s *Settings) fillAdvertise(c *checker) {
-	c.advertised("advertise.http", &s.Advertise.HTTP, s.Listen.HTTP)
-	c.advertised("advertise.peer", &s.Advertise.Peer, s.Listen.Peer)
+func (s *Settings) fillAdvertisedAddresses(c *checker) {
+	c.fillAdvertised("advertise.http", &s.Advertise.HTTP, s.Listen.HTTP)
+	c.fillAdvertised("advertise.peer", &s.Advertise.Peer, s.Listen.Peer)
 }
 
-// advertised fills in an address and checks that others can reach it. Port 0
-// is allowed only where the listener's own port, once known, takes its place.
-func (c *checker) advertised(field string, address *string, listen string) {
+// fillAdvertised sets an empty advertised address to the listen address, and
+// checks that other hosts can connect to it. Port 0 is allowed only if the address
+// equals the listen address: the listener's port then replaces it once known.
+func (c *checker) fillAdvertised(field string, address *string, listen string) {
 	if *address == "" {
 		*address = listen
 	}
 	ap, err := netip.ParseAddrPort(*address)
 	if err != nil {
-		return // reported by the field's own check
+		return // the schema has already reported it
 	}
 	if ap.Addr().IsUnspecified() || (ap.Port() == 0 && *address != listen) {
 		c.add(field, *address+" is no address that others can reach", "write the host's own IP:port")
 	}
 }
 
-func (c *checker) keyFiles(field string, k KeyFiles, mutual bool) {
+func (c *checker) checkKeyFiles(field string, k KeyFiles, mutual bool) {
 	if (k.CertFile == "") != (k.KeyFile == "") {
 		c.add(field, "certFile and keyFile go together", "set both or neither")
 	}
--- a/settings/example_test.go
+++ b/settings/example_test.go
@@ -12,7 +12,7 @@
 func TestExampleSettings_EveryFieldCommentedAndValid(t *testing.T) {
 	text := "// Settings of one entry host. Every field is shown; those with a default may be left out.\n" +
 		"// The operator's token of this example is operator-trial; make your own hash with: printf %s TOKEN | sha256sum\n" +
-		schema.Example(&root, map[string]any{
+		schema.Example(&settingsSchema, map[string]any{
 			"host.name":           "entry-a-1",
 			"host.failureDomain":  "fd-a",
 			"host.region":         "east",
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -10,8 +10,9 @@
 	unitBytes   = "bytes"
 )
 
-// root describes every field of the settings: unit, default, range, meaning.
-var root = schema.Field{Type: schema.Object, Fields: []schema.Field{
+// settingsSchema defines every field of the settings with its type, unit,
+// default, range and description.
+var settingsSchema = schema.Field{Type: schema.Object, Fields: []schema.Field{
 	{Name: "host", Type: schema.Object, Doc: "who this host is", Fields: []schema.Field{
 		{Name: "name", Type: schema.String, Required: true, Format: schema.NameFormat, Doc: "unique name of the host"},
 		{Name: "failureDomain", Type: schema.String, Required: true, Format: schema.NameFormat, Doc: "failure domain that the host stands in"},
@@ -35,8 +36,8 @@
 	{Name: "operatorTokenHashes", Type: schema.List, Min: 0, Max: 64, Doc: "hashes of operators' tokens; empty: operators' calls are refused",
 		Elem: &schema.Field{Type: schema.String, Required: true, Format: schema.HashFormat}},
 	{Name: "tls", Type: schema.Object, Doc: "keys of the listeners", Fields: []schema.Field{
-		keyFiles("http", "towards callers and operators; empty: plain HTTP"),
-		keyFiles("peer", "between entry hosts, both sides checked; empty: plain TCP"),
+		keyFilesField("http", "towards callers and operators; empty: plain HTTP"),
+		keyFilesField("peer", "between entry hosts, both sides checked; empty: plain TCP"),
 		{Name: "reloadSeconds", Type: schema.Int, Unit: unitSeconds, Default: 10, Min: 1, Max: 3600, Doc: "how often changed key files are looked for"},
 	}},
 	{Name: "trace", Type: schema.Object, Doc: "where spans go", Fields: []schema.Field{
@@ -53,7 +54,7 @@
 	{Name: "timing", Type: schema.Object, Doc: "intervals and time limits", Fields: timingFields},
 }}
 
-func keyFiles(name, doc string) schema.Field {
+func keyFilesField(name, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.Object, Doc: doc, Fields: []schema.Field{
 		{Name: "certFile", Type: schema.String, Default: "", Doc: "PEM certificate chain"},
 		{Name: "keyFile", Type: schema.String, Default: "", Doc: "PEM private key"},
@@ -62,13 +63,13 @@
 }
 
 var timingFields = []schema.Field{
-	duration("schedulerLeaseMillis", unitMillis, 5000, 500, 60_000, "lease of a failure domain's scheduler"),
-	duration("ledgerBatchMillis", unitMillis, 50, 0, 2000, "how long changes of jobs gather into one write"),
-	duration("peerTimeoutMillis", unitMillis, 2000, 50, 30_000, "deadline of one call to an entry host"),
-	duration("drainWaitSeconds", unitSeconds, 5, 0, 300, "time reported as not ready before listeners close"),
-	duration("drainTimeoutSeconds", unitSeconds, 120, 1, 3600, "longest time for requests to finish on shutdown"),
+	durationField("schedulerLeaseMillis", unitMillis, 5000, 500, 60_000, "lease of a failure domain's scheduler"),
+	durationField("ledgerBatchMillis", unitMillis, 50, 0, 2000, "how long changes of jobs gather into one write"),
+	durationField("peerTimeoutMillis", unitMillis, 2000, 50, 30_000, "deadline of one call to an entry host"),
+	durationField("drainWaitSeconds", unitSeconds, 5, 0, 300, "time reported as not ready before listeners close"),
+	durationField("drainTimeoutSeconds", unitSeconds, 120, 1, 3600, "longest time for requests to finish on shutdown"),
 }
 
-func duration(name, unit string, byDefault, lowest, highest int, doc string) schema.Field {
+func durationField(name, unit string, byDefault, lowest, highest int, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: byDefault, Min: lowest, Max: highest, Doc: doc}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,7 @@
-// Package settings reads the settings of one entry host: JSON with comments,
-// checked whole before use.
+// Package settings reads the settings of one entry host from a file of JSON with
+// comments, and validates all of them before any is used. The entry host loads
+// them when it starts; the command line validates and describes them. The
+// package holds no state besides the schema of the fields.
 package settings
 
 import (
@@ -31,7 +33,7 @@
 	Timing    Timing    `json:"timing"`
 }
 
-// Host says who this host is and where it stands.
+// Host is the name and location of this host.
 type Host struct {
 	Name          string `json:"name"`
 	FailureDomain string `json:"failureDomain"`
@@ -39,28 +41,28 @@
 	Rack          string `json:"rack"`
 }
 
-// Addresses are the IP:port of the HTTP listener and of the net/rpc listener.
+// Addresses are IP:port of the HTTP listener and of the net/rpc listener.
 type Addresses struct {
 	HTTP string `json:"http"`
 	Peer string `json:"peer"`
 }
 
-// Platform says where the platform's services are.
+// Platform locates the platform's services.
 type Platform struct {
 	URLs []string `json:"urls"` // tried in turn
 }
 
 // TLS holds the key files of both listeners.
 type TLS struct {
-	HTTP          KeyFiles `json:"http"` // towards callers and operators
-	Peer          KeyFiles `json:"peer"` // between entry hosts, which show certificates to each other
+	HTTP          KeyFiles `json:"http"` // for callers and operators
+	Peer          KeyFiles `json:"peer"` // between entry hosts, with mutual TLS
 	ReloadSeconds int      `json:"reloadSeconds"`
 }
 
-// ReloadInterval is how often the key files are looked at for a change.
+// ReloadInterval is the time between checks for changed key files.
 func (t TLS) ReloadInterval() time.Duration { return time.Duration(t.ReloadSeconds) * time.Second }
 
-// KeyFiles names PEM files. All empty: plain TCP.
+// KeyFiles names the PEM files of one listener. All empty: plain TCP.
 type KeyFiles struct {
 	CertFile string `json:"certFile"`
 	KeyFile  string `json:"keyFile"`
@@ -70,31 +72,31 @@
 // Enabled reports whether the listener uses TLS.
 func (k KeyFiles) Enabled() bool { return k.CertFile != "" }
 
-// Exporter says where spans go.
+// Exporter is the destination of spans.
 type Exporter string
 
-// The exporters.
+// Values of Exporter.
 const (
 	ExportNone   Exporter = "none"
 	ExportStdout Exporter = "stdout"
 	ExportOTLP   Exporter = "otlp"
 )
 
-// Trace says which requests are traced and where spans go.
+// Trace configures tracing: which requests are sampled and where spans are sent.
 type Trace struct {
 	Exporter      Exporter `json:"exporter"`
 	Endpoint      string   `json:"endpoint"` // URL of an OTLP collector over HTTP
 	SamplePercent int      `json:"samplePercent"`
 }
 
-// Log says how much is logged.
+// Log configures logging.
 type Log struct {
 	Level string `json:"level"`
 }
 
-// Limits bound what one host takes.
+// Limits are the size limits of one host.
 type Limits struct {
-	DocumentBytes int `json:"documentBytes"` // largest body of an operator's edit
+	DocumentBytes int `json:"documentBytes"` // largest request body of an operator's edit
 }
 
 // Load reads and checks a settings file.
@@ -109,13 +111,13 @@
 }
 
 // Parse checks settings and fills in defaults. The error is an *apierr.Error
-// that carries every mistake found.
+// with every mistake found.
 func Parse(name string, data []byte) (*Settings, error) {
 	src, bad := schema.Read(name, data)
 	if bad != nil {
 		return nil, bad
 	}
-	result := src.Check(&src.Root, &root, "")
+	result := src.Check(&src.Root, &settingsSchema, "")
 	if len(result.Mistakes) > 0 {
 		return nil, apierr.Join(result.Mistakes)
 	}
@@ -129,10 +131,11 @@
 	return s, nil
 }
 
-// Describe prints every field with its type, unit, default, range and meaning.
-func Describe(w io.Writer) error { return schema.Describe(w, &root) }
+// Describe writes a table of every field with its type, unit, default, range and
+// description.
+func Describe(w io.Writer) error { return schema.Describe(w, &settingsSchema) }
 
-// Self returns this host's line as the platform's host list shows it.
+// Self returns this host's entry in the platform's host list.
 func (s *Settings) Self() kvstore.Host {
 	return kvstore.Host{
 		Name:          s.Host.Name,
--- a/settings/timing.go
+++ b/settings/timing.go
@@ -14,17 +14,20 @@
 func millis(n int) time.Duration  { return time.Duration(n) * time.Millisecond }
 func seconds(n int) time.Duration { return time.Duration(n) * time.Second }
 
-// SchedulerLease is the length of the lease that makes a host the scheduler.
+// SchedulerLease is the duration of the lease under which a host is its failure
+// domain's scheduler.
 func (t Timing) SchedulerLease() time.Duration { return millis(t.SchedulerLeaseMillis) }
 
-// LedgerBatch is how long changes of jobs are gathered into one write.
+// LedgerBatch is how long changes to jobs are batched into one write.
 func (t Timing) LedgerBatch() time.Duration { return millis(t.LedgerBatchMillis) }
 
-// PeerTimeout is the deadline of one call to another entry host.
+// PeerTimeout is the timeout of one call to another entry host.
 func (t Timing) PeerTimeout() time.Duration { return millis(t.PeerTimeoutMillis) }
 
-// DrainWait is how long a leaving host reports not ready before it stops listening.
+// DrainWait is how long a host that shuts down reports not ready before it closes
+// its listeners.
 func (t Timing) DrainWait() time.Duration { return seconds(t.DrainWaitSeconds) }
 
-// DrainTimeout is the longest time that a leaving host gives requests to finish.
+// DrainTimeout is how long a host that shuts down waits for open requests to
+// finish.
 func (t Timing) DrainTimeout() time.Duration { return seconds(t.DrainTimeoutSeconds) }
--- a/settings/used_test.go
+++ b/settings/used_test.go
@@ -10,8 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A setting that nothing reads misleads operators.
-func TestEveryLimitAndTimeIsReadByTheEntryHost(t *testing.T) {
+// Every timing and limit must be used by the source code of the entry host: a
+// setting without effect would mislead operators.
+func TestEntryHostReadsEveryTimingAndLimit(t *testing.T) {
 	files, err := filepath.Glob("../entryhost/*.go")
 	must.NoError(t, err)
 	var source strings.Builder
