--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -9,64 +9,67 @@
 	"github.com/charmbracelet/log"
 )
 
-// asyncLines is how many lines may wait to be written: a few seconds of a busy
-// host, and well under a megabyte.
-const asyncLines = 2048
+// asyncQueueLines is the capacity of an AsyncWriter's queue in lines: the output of
+// a busy host for a few seconds, in well under a megabyte.
+const asyncQueueLines = 2048
 
-// AsyncWriter writes lines from a bounded queue, so that nobody waits for a
-// slow or blocked output. Lines that find the queue full are dropped, counted
-// and told of once there is room. It is safe for concurrent use.
+// AsyncWriter writes log lines in the background from a bounded queue, so that a
+// slow or blocked output never blocks the callers. Lines that arrive while the
+// queue is full are dropped and counted; a line with their number is written
+// before the next line that is written. It is safe for concurrent use.
 type AsyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	done    chan struct{}
-	dropped atomic.Uint64
-	total   atomic.Uint64
-	close   sync.Once
+	out             io.Writer
+	queue           chan []byte
+	done            chan struct{}
+	unreportedDrops atomic.Uint64 // dropped since the last line about dropped lines
+	totalDrops      atomic.Uint64 // dropped or failed to write since the start
+	closeOnce       sync.Once
 }
 
-// NewAsyncWriter returns a writer to out. It must be closed.
+// NewAsyncWriter returns an AsyncWriter to out and starts its goroutine, which
+// runs until Close.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{out: out, lines: make(chan []byte, asyncLines), done: make(chan struct{})}
-	go w.run()
+	w := &AsyncWriter{out: out, queue: make(chan []byte, asyncQueueLines), done: make(chan struct{})}
+	go w.writeQueued()
 	return w
 }
 
 // Write queues a line. It never blocks.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- append([]byte(nil), line...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
-		w.dropped.Add(1)
-		w.total.Add(1)
+		w.unreportedDrops.Add(1)
+		w.totalDrops.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
-func (w *AsyncWriter) Dropped() uint64 { return w.total.Load() }
+// Dropped returns how many lines have been dropped or failed to be written.
+func (w *AsyncWriter) Dropped() uint64 { return w.totalDrops.Load() }
 
-func (w *AsyncWriter) run() {
+func (w *AsyncWriter) writeQueued() {
 	defer close(w.done)
-	for line := range w.lines {
-		if n := w.dropped.Swap(0); n > 0 {
-			w.put(fmt.Appendf(nil, "level=warn msg=\"log lines dropped: output too slow\" lines=%d\n", n))
+	for line := range w.queue {
+		if n := w.unreportedDrops.Swap(0); n > 0 {
+			w.writeLine(fmt.Appendf(nil, "level=warn msg=\"log lines dropped: output too slow\" lines=%d\n", n))
 		}
-		w.put(line)
+		w.writeLine(line)
 	}
 }
 
-// put writes a line. There is nowhere to report a failure of the log itself, so
-// the line counts as dropped.
-func (w *AsyncWriter) put(line []byte) {
+// writeLine writes a line to the output. Errors cannot be logged, since the log
+// itself failed, so the line is counted as dropped.
+func (w *AsyncWriter) writeLine(line []byte) {
 	if _, err := w.out.Write(line); err != nil {
-		w.total.Add(1)
+		w.totalDrops.Add(1)
 	}
 }
 
-// Close writes what is queued, unless the output is blocked; no Write may follow.
+// Close waits until all queued lines are written or limit is closed, whichever
+// comes first. Write must not be called afterwards.
 func (w *AsyncWriter) Close(limit <-chan struct{}) {
-	w.close.Do(func() { close(w.lines) })
+	w.closeOnce.Do(func() { close(w.queue) })
 	select {
 	case <-w.done:
 	case <-limit:
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -13,9 +13,9 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// Nobody waits for a log whose output is blocked; what did not fit is counted,
-// and told of once the output moves again.
-func TestBlockedOutputHoldsNobodyUp(t *testing.T) {
+// Write must return while the output is blocked. Lines that do not fit in the
+// queue are counted, and reported once the output accepts data again.
+func TestAsyncWriter_WriteReturnsWhileOutputIsBlocked(t *testing.T) {
 	read, write := io.Pipe()
 	w := telemetry.NewAsyncWriter(write)
 	const lines = 20_000
@@ -29,7 +29,7 @@
 	var out bytes.Buffer
 	done := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(&out, read) // ends with the pipe
+		_, _ = io.Copy(&out, read) // until the pipe is closed
 		close(done)
 	}()
 	for limit := time.Now().Add(5 * time.Second); time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
--- a/telemetry/http.go
+++ b/telemetry/http.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/codes"
 )
 
-// Middleware wraps an entry host's whole handler: each request gets a server
-// span that continues the caller's trace, and is counted in set by route.
+// Middleware wraps the root handler of an entry host. Each request gets a server
+// span that continues the caller's trace, and is counted and timed in set by route.
 func Middleware(host string, set *metrics.Set, now func() time.Time, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		begun := now()
@@ -33,8 +33,9 @@
 	})
 }
 
-// routeOf is the mux's pattern, never the caller's path: paths name callers'
-// jobs and would make metrics without bound.
+// routeOf returns the pattern that the mux matched, never the request's path:
+// paths contain names of callers' jobs and would make the number of metrics
+// unbounded.
 func routeOf(r *http.Request) string {
 	if r.Pattern == "" {
 		return "unknown"
@@ -48,7 +49,7 @@
 	set.GetOrCreateHistogram(fmt.Sprintf(`cyclamentray_http_request_seconds{%s}`, label)).Update(took.Seconds())
 }
 
-// statusWriter remembers the status that was answered.
+// statusWriter records the status code of the response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
@@ -71,7 +72,7 @@
 // Flush implements http.Flusher.
 func (w *statusWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// Unwrap lets http.ResponseController reach the writer beneath.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 func (w *statusWriter) code() int {
@@ -81,12 +82,13 @@
 	return w.status
 }
 
-// pathKey names the path of a call. It is no part of a span's name, since paths
-// hold names without bound.
+// pathKey is the attribute for the path of an outgoing request. The path is not
+// part of the span's name, since paths contain an unbounded set of names.
 const pathKey = attribute.Key("url.path")
 
-// Transport wraps base so that each request is a client span named after the
-// kind of host it goes to, such as "worker", and carries the trace context.
+// Transport wraps base so that each request has a client span and the headers of
+// the trace context. The span is named after the kind of host that the request is
+// sent to, such as "worker".
 func Transport(base http.RoundTripper, kind string) http.RoundTripper {
 	return &transport{base: base, kind: kind}
 }
@@ -109,7 +111,8 @@
 	return resp, err
 }
 
-// CloseIdleConnections lets http.Client reach the transport beneath.
+// CloseIdleConnections closes the idle connections of the wrapped transport. It
+// is called by http.Client.
 func (t *transport) CloseIdleConnections() {
 	if c, ok := t.base.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -1,4 +1,7 @@
-// Package telemetry sets up logs, traces and request metrics.
+// Package telemetry sets up logging, tracing and request metrics. Its state is
+// the process-wide OpenTelemetry tracer provider that SetupTracing installs, and
+// the queues and recorded spans of the types below. Programs set it up when they
+// start; servers and clients of other packages start spans with it.
 package telemetry
 
 import (
@@ -7,8 +10,8 @@
 	"github.com/charmbracelet/log"
 )
 
-// NewLogger returns a logger for one process. Each slice adds its own prefix
-// with WithPrefix. An unknown level means info.
+// NewLogger returns the logger of one process. Each package adds its own prefix
+// with WithPrefix. An unknown level is taken as info.
 func NewLogger(w io.Writer, level string) *log.Logger {
 	l, err := log.ParseLevel(level)
 	if err != nil {
--- a/telemetry/recorder.go
+++ b/telemetry/recorder.go
@@ -14,27 +14,27 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Bounds of a Recorder's memory.
+// Limits of the memory used by a Recorder.
 const (
 	maxTraces        = 256
 	maxSpansPerTrace = 512
 )
 
-// Recorder keeps the spans of the newest traces in memory and prints a trace
-// as a tree. Spans are held once they end. It is safe for concurrent use.
+// Recorder keeps the ended spans of the newest traces in memory and formats a
+// trace as a tree. It is safe for concurrent use.
 type Recorder struct {
 	mu     sync.Mutex
 	order  []trace.TraceID // oldest first
-	traces map[trace.TraceID]*recorded
+	traces map[trace.TraceID]*recordedTrace
 }
 
-type recorded struct {
+type recordedTrace struct {
 	spans   []sdktrace.ReadOnlySpan
 	dropped int
 }
 
-// NewRecorder returns a Recorder for Tracing.Processors.
-func NewRecorder() *Recorder { return &Recorder{traces: map[trace.TraceID]*recorded{}} }
+// NewRecorder returns an empty Recorder, to be passed in Tracing.Processors.
+func NewRecorder() *Recorder { return &Recorder{traces: map[trace.TraceID]*recordedTrace{}} }
 
 var _ sdktrace.SpanProcessor = (*Recorder)(nil)
 
@@ -48,10 +48,10 @@
 	id := s.SpanContext().TraceID()
 	t, ok := r.traces[id]
 	if !ok {
-		t = &recorded{}
+		t = &recordedTrace{}
 		r.traces[id] = t
 		r.order = append(r.order, id)
-		r.forgetOldest()
+		r.evictOldest()
 	}
 	if len(t.spans) == maxSpansPerTrace {
 		t.dropped++
@@ -60,7 +60,7 @@
 	t.spans = append(t.spans, s)
 }
 
-func (r *Recorder) forgetOldest() {
+func (r *Recorder) evictOldest() {
 	if len(r.order) <= maxTraces {
 		return
 	}
@@ -85,20 +85,20 @@
 	return ids
 }
 
-// Tree prints a trace with one line a span: name, host, duration, and the
-// error if it failed. It returns "" for a trace that is not held.
+// Tree formats a trace with one line per span: name, path, host, duration, and
+// the error if it failed. It returns "" for a trace that is not in memory.
 func (r *Recorder) Tree(traceID string) string {
-	return r.print(traceID, func(s sdktrace.ReadOnlySpan) string {
+	return r.formatTree(traceID, func(s sdktrace.ReadOnlySpan) string {
 		return fmt.Sprintf("  %s", s.EndTime().Sub(s.StartTime()).Round(10*time.Microsecond))
 	})
 }
 
 // Shape is Tree without durations, for comparison with a golden file.
 func (r *Recorder) Shape(traceID string) string {
-	return r.print(traceID, func(sdktrace.ReadOnlySpan) string { return "" })
+	return r.formatTree(traceID, func(sdktrace.ReadOnlySpan) string { return "" })
 }
 
-func (r *Recorder) print(traceID string, timing func(sdktrace.ReadOnlySpan) string) string {
+func (r *Recorder) formatTree(traceID string, timing func(sdktrace.ReadOnlySpan) string) string {
 	id, err := trace.TraceIDFromHex(traceID)
 	if err != nil {
 		return ""
@@ -113,15 +113,15 @@
 	r.mu.Unlock()
 
 	p := &treePrinter{children: childrenOf(spans), timing: timing}
-	p.level(trace.SpanID{}, "")
+	p.printChildren(trace.SpanID{}, "")
 	if dropped > 0 {
 		fmt.Fprintf(&p.out, "(%d more spans not kept)\n", dropped)
 	}
 	return p.out.String()
 }
 
-// childrenOf groups spans by parent, in order of start. A span whose parent is
-// not held, because another process has it, counts as a root.
+// childrenOf groups spans by parent, ordered by start time. A span whose parent is
+// not in spans, because another process recorded it, is treated as a root.
 func childrenOf(spans []sdktrace.ReadOnlySpan) map[trace.SpanID][]sdktrace.ReadOnlySpan {
 	held := map[trace.SpanID]bool{}
 	for _, s := range spans {
@@ -136,12 +136,12 @@
 		children[parent] = append(children[parent], s)
 	}
 	for _, siblings := range children {
-		sort.SliceStable(siblings, func(i, j int) bool { return before(siblings[i], siblings[j]) })
+		sort.SliceStable(siblings, func(i, j int) bool { return startsBefore(siblings[i], siblings[j]) })
 	}
 	return children
 }
 
-func before(a, b sdktrace.ReadOnlySpan) bool {
+func startsBefore(a, b sdktrace.ReadOnlySpan) bool {
 	if !a.StartTime().Equal(b.StartTime()) {
 		return a.StartTime().Before(b.StartTime())
 	}
@@ -154,8 +154,8 @@
 	out      strings.Builder
 }
 
-// level prints the spans below parent, each line after indent.
-func (p *treePrinter) level(parent trace.SpanID, indent string) {
+// printChildren writes the descendants of parent, each line prefixed by indent.
+func (p *treePrinter) printChildren(parent trace.SpanID, indent string) {
 	siblings := p.children[parent]
 	for i, s := range siblings {
 		branch, below := "├─ ", "│  "
@@ -166,7 +166,7 @@
 			branch, below = "", ""
 		}
 		p.out.WriteString(indent + branch + s.Name() + pathOf(s) + hostOf(s) + p.timing(s) + failureOf(s) + "\n")
-		p.level(s.SpanContext().SpanID(), indent+below)
+		p.printChildren(s.SpanContext().SpanID(), indent+below)
 	}
 }
 
@@ -174,7 +174,8 @@
 
 func hostOf(s sdktrace.ReadOnlySpan) string { return attributeOf(s, HostKey, " @") }
 
-// attributeOf returns mark and an attribute's value, or "" without the attribute.
+// attributeOf returns mark followed by the attribute's value, or "" if the span
+// does not have the attribute.
 func attributeOf(s sdktrace.ReadOnlySpan, key attribute.Key, mark string) string {
 	for _, a := range s.Attributes() {
 		if a.Key == key {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -18,8 +18,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// record turns tracing on into a Recorder until the test ends.
-func record(t testing.TB) *Recorder {
+// startRecording installs tracing with a Recorder until the test ends.
+func startRecording(t testing.TB) *Recorder {
 	rec := NewRecorder()
 	shutdown, err := SetupTracing(t.Context(), Tracing{Exporter: "none", Processors: []sdktrace.SpanProcessor{rec}})
 	must.NoError(t, err)
@@ -27,8 +27,8 @@
 	return rec
 }
 
-// entry serves handler as the entry host of the given name.
-func entry(t testing.TB, host string, set *metrics.Set, handler http.HandlerFunc) *httptest.Server {
+// serveEntryHost starts an HTTP server for handler as the entry host named host.
+func serveEntryHost(t testing.TB, host string, set *metrics.Set, handler http.HandlerFunc) *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/jobs/{name}", handler)
 	s := httptest.NewServer(Middleware(host, set, time.Now, mux))
@@ -49,23 +49,23 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-func TestTrace_OneSpanAHopAsATree(t *testing.T) {
-	rec := record(t)
+func TestTrace_TreeHasOneSpanPerHop(t *testing.T) {
+	rec := startRecording(t)
 	set := metrics.NewSet()
 	client := &http.Client{Transport: Transport(http.DefaultTransport, "entry-host")}
-	far := entry(t, "b-1", set, func(w http.ResponseWriter, r *http.Request) {
-		ctx := FromCarrier(context.Background(), ToCarrier(r.Context())) // as net/rpc carries it
+	secondHop := serveEntryHost(t, "b-1", set, func(w http.ResponseWriter, r *http.Request) {
+		ctx := FromCarrier(context.Background(), ToCarrier(r.Context())) // as in a net/rpc message
 		_, span := StartClient(ctx, "platform.get")
 		End(span, errors.New("store unavailable"))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	near := entry(t, "a-1", set, func(w http.ResponseWriter, r *http.Request) {
-		status, err := post(r.Context(), client, far.URL+"/v1/jobs/secret")
+	firstHop := serveEntryHost(t, "a-1", set, func(w http.ResponseWriter, r *http.Request) {
+		status, err := post(r.Context(), client, secondHop.URL+"/v1/jobs/secret")
 		must.NoError(t, err)
 		w.WriteHeader(status)
 	})
 	ctx, span := Start(t.Context(), "caller")
-	status, err := post(ctx, client, near.URL+"/v1/jobs/secret")
+	status, err := post(ctx, client, firstHop.URL+"/v1/jobs/secret")
 	must.NoError(t, err)
 	must.Eq(t, 503, status)
 	End(span, nil)
@@ -87,7 +87,7 @@
 }
 
 func TestRecorder_MemoryIsBounded(t *testing.T) {
-	rec := record(t)
+	rec := startRecording(t)
 	ctx, root := Start(t.Context(), "many")
 	for range maxSpansPerTrace + 10 {
 		_, s := Start(ctx, "one")
@@ -104,8 +104,8 @@
 	must.Eq(t, "", rec.Tree("no trace"))
 }
 
-func TestBackgroundCallsMakeNoTraces(t *testing.T) {
-	rec := record(t)
+func TestStartClient_WithoutParentIsNotRecorded(t *testing.T) {
+	rec := startRecording(t)
 	ctx, heartbeat := StartClient(t.Context(), "heartbeat")
 	must.Eq(t, "", TraceParent(ctx))
 	_, received := StartServer(FromCarrier(t.Context(), ToCarrier(ctx)), "heartbeat")
@@ -114,8 +114,8 @@
 	must.SliceEmpty(t, rec.Traces())
 }
 
-func TestTraceParent_JoinsLaterWork(t *testing.T) {
-	rec := record(t)
+func TestWithTraceParent_ContinuesTheTrace(t *testing.T) {
+	rec := startRecording(t)
 	ctx, submitted := Start(t.Context(), "submit")
 	kept := TraceParent(ctx)
 	submitted.End()
@@ -140,7 +140,7 @@
 	must.ErrorContains(t, err, "use none, stdout or otlp")
 }
 
-func TestTracingOff_StillCarriesTheCallersTrace(t *testing.T) {
+func TestTracingOff_StillPropagatesTheCallersTrace(t *testing.T) {
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	header := http.Header{"Traceparent": {parent}}
 	ctx, span := StartServer(Extract(t.Context(), header), "entry")
@@ -159,10 +159,10 @@
 	must.StrNotContains(t, out.String(), "hidden")
 }
 
-// BenchmarkMiddleware measures one request through the middleware, with an
-// outgoing hop beneath it, without sockets.
+// BenchmarkMiddleware measures one request through the middleware whose handler
+// makes one outgoing request, without sockets.
 func BenchmarkMiddleware(b *testing.B) {
-	hop := &http.Client{Transport: Transport(answer{}, "upstream")}
+	hop := &http.Client{Transport: Transport(emptyUpstream{}, "upstream")}
 	handler := Middleware("a-1", metrics.NewSet(), time.Now, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = post(r.Context(), hop, "http://upstream/")
 	}))
@@ -188,9 +188,9 @@
 	must.False(b, trace.SpanFromContext(b.Context()).IsRecording())
 }
 
-// answer is an upstream that answers every request with an empty 200.
-type answer struct{}
+// emptyUpstream is a transport that answers every request with an empty 200.
+type emptyUpstream struct{}
 
-func (answer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (emptyUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 200, Body: http.NoBody, Request: r}, nil
 }
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -22,21 +22,21 @@
 
 const tracerName = "cyclamentray"
 
-// HostKey is the attribute that names the host a span was made on.
+// HostKey is the attribute for the name of the host that recorded the span.
 const HostKey = attribute.Key("host.name")
 
-// Tracing says where spans go.
+// Tracing configures SetupTracing.
 type Tracing struct {
 	Exporter      string                   // none, stdout or otlp
 	Endpoint      string                   // URL of an OTLP collector over HTTP
 	SamplePercent int                      // share of new traces that are recorded; 0: all
-	Host          string                   // names the process in every span
+	Host          string                   // name of this host, in the resource of every span
 	Stdout        io.Writer                // for the stdout exporter
-	Processors    []sdktrace.SpanProcessor // further receivers of spans, such as a Recorder
+	Processors    []sdktrace.SpanProcessor // additional span processors, such as a Recorder
 }
 
-// SetupTracing installs the process's tracer provider. The function returned
-// flushes the spans still held and puts a provider in place that makes none.
+// SetupTracing installs the process's tracer provider. The returned function
+// flushes pending spans and installs a no-op provider.
 func SetupTracing(ctx context.Context, t Tracing) (shutdown func(context.Context) error, err error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	exporter, err := t.exporter(ctx)
@@ -88,9 +88,9 @@
 	return options
 }
 
-// rootSampler leaves out traces that would begin with a call to another
-// process: heartbeats, renewals and other background work, which no caller
-// waits for. A caller that wants its call traced wraps it in Start.
+// rootSampler drops traces whose root would be a call to another process:
+// heartbeats, lease renewals and other background work that no caller waits for.
+// A caller that wants its call traced starts a span with Start first.
 type rootSampler struct{ sdktrace.Sampler }
 
 // ShouldSample implements Sampler.
@@ -138,22 +138,25 @@
 	return propagation.TraceContext{}.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// ToCarrier returns the trace context of ctx for a message that is not HTTP.
+// ToCarrier returns the trace context of ctx as a map, for messages that are not
+// HTTP.
 func ToCarrier(ctx context.Context) map[string]string {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
 	return carrier
 }
 
-// FromCarrier returns ctx with the trace context that ToCarrier returned.
+// FromCarrier returns ctx with the trace context from a map that ToCarrier
+// returned.
 func FromCarrier(ctx context.Context, carried map[string]string) context.Context {
 	return propagation.TraceContext{}.Extract(ctx, propagation.MapCarrier(carried))
 }
 
 const traceParentKey = "traceparent"
 
-// TraceParent returns the trace context of ctx in W3C form, to be kept with
-// work that goes on later; "" when ctx's trace is not recorded.
+// TraceParent returns the trace context of ctx as a W3C traceparent value, to be
+// stored with work that continues later. It returns "" if the trace is not
+// sampled.
 func TraceParent(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
@@ -161,7 +164,8 @@
 	return ToCarrier(ctx)[traceParentKey]
 }
 
-// WithTraceParent returns ctx within the trace that TraceParent told of.
+// WithTraceParent returns ctx with the trace context from a value that
+// TraceParent returned.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
