--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -17,7 +17,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints the account of a job.
+// Execute prints the events of a job that the log files contain.
 func (c *accountCommand) Execute([]string) error {
 	var logs []io.Reader
 	for _, path := range c.Args.Logs {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,6 @@
-// Package cli is the command line of operators and callers.
+// Package cli is the command line for operators and callers. The program
+// cyclamentray calls Run once; the package holds no state besides the options of
+// that run.
 package cli
 
 import (
@@ -25,7 +27,7 @@
 	CA        string `long:"ca" description:"file of CA certificates for an https address"`
 }
 
-// app carries what commands share.
+// app holds what all commands share.
 type app struct {
 	globals *Globals
 	ctx     context.Context
@@ -47,11 +49,12 @@
 		return ExitFailed
 	}
 	_, err := parser.ParseArgs(args)
-	return report(err, &globals, out, errOut)
+	return reportError(err, &globals, out, errOut)
 }
 
-// report prints a command's error and returns the exit code.
-func report(err error, globals *Globals, out, errOut io.Writer) int {
+// reportError prints the error of a command, as JSON or as text, and returns the
+// exit code.
+func reportError(err error, globals *Globals, out, errOut io.Writer) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -77,7 +80,7 @@
 	return ExitUsage
 }
 
-// client returns a client of the entry host that the options name.
+// client returns a client of the entry host named by the options.
 func (a *app) client() (*client.Client, error) {
 	token := a.globals.Token
 	if a.globals.TokenFile != "" {
@@ -97,7 +100,7 @@
 	return client.NewWithHTTP(a.globals.Address, token, hc), nil
 }
 
-// print writes value as JSON, or text otherwise.
+// print writes value as JSON if the options ask for it, or else text.
 func (a *app) print(value any, text string) error {
 	if a.globals.Output != "json" {
 		_, err := fmt.Fprintln(a.out, text)
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -20,13 +20,14 @@
 	Verbose bool `long:"verbose" description:"show the entry hosts' logs on standard error"`
 }
 
-// Execute boots a deployment on loopback and runs the example work or waits.
+// Execute starts a deployment on loopback, and either runs the example work or
+// waits for an interrupt.
 func (c *devCommand) Execute([]string) error {
 	level := log.ErrorLevel
 	if c.Verbose {
 		level = log.InfoLevel
 	}
-	rec, err := c.recorder()
+	rec, err := c.setupRecorder()
 	if err != nil {
 		return err
 	}
@@ -44,11 +45,11 @@
 	if c.Once {
 		return d.Scenario(c.app.ctx, c.app.out, rec)
 	}
-	return c.stay(d)
+	return c.serveUntilInterrupted(d)
 }
 
-// recorder receives the process's spans when traces are asked for.
-func (c *devCommand) recorder() (*telemetry.Recorder, error) {
+// setupRecorder returns a Recorder of the process's spans, or nil without --trace.
+func (c *devCommand) setupRecorder() (*telemetry.Recorder, error) {
 	if !c.Trace {
 		return nil, nil
 	}
@@ -57,8 +58,9 @@
 	return rec, err
 }
 
-// stay keeps the deployment up until the command is interrupted.
-func (c *devCommand) stay(d *dev.Deployment) error {
+// serveUntilInterrupted applies the documents, prints addresses and tokens, and
+// waits until the command is interrupted.
+func (c *devCommand) serveUntilInterrupted(d *dev.Deployment) error {
 	if _, err := d.Apply(c.app.ctx); err != nil {
 		return err
 	}
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -33,8 +33,9 @@
 	return job.ID{Organisation: parts[0], Service: parts[1], Name: parts[2]}, nil
 }
 
-// target returns the job that an argument names, and a client to ask about it.
-func (a *app) target(arg string) (job.ID, *client.Client, error) {
+// jobAndClient returns the identity of the job in an argument and a client of the
+// entry host.
+func (a *app) jobAndClient(arg string) (job.ID, *client.Client, error) {
 	id, err := parseJob(arg)
 	if err != nil {
 		return job.ID{}, nil, err
@@ -63,7 +64,7 @@
 
 // Execute submits the job.
 func (c *submitCommand) Execute([]string) error {
-	id, cl, err := c.app.target(c.Args.Job)
+	id, cl, err := c.app.jobAndClient(c.Args.Job)
 	if err != nil {
 		return err
 	}
@@ -72,7 +73,7 @@
 		return err
 	}
 	if c.Wait {
-		rec, err = c.wait(cl, id)
+		rec, err = c.waitUntilEnded(cl, id)
 		if err != nil {
 			return err
 		}
@@ -92,7 +93,7 @@
 	}
 }
 
-func (c *submitCommand) wait(cl *client.Client, id job.ID) (job.Record, error) {
+func (c *submitCommand) waitUntilEnded(cl *client.Client, id job.ID) (job.Record, error) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -126,7 +127,7 @@
 		return err
 	}
 	if c.Args.Job == "" {
-		return c.list(cl)
+		return c.listJobs(cl)
 	}
 	id, err := parseJob(c.Args.Job)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return c.app.print(rec, describeJob(rec))
 }
 
-func (c *statusCommand) list(cl *client.Client) error {
+func (c *statusCommand) listJobs(cl *client.Client) error {
 	list, err := cl.Jobs(c.app.ctx, job.State(c.State))
 	if err != nil {
 		return err
@@ -175,7 +176,7 @@
 
 // Execute cancels the job.
 func (c *cancelCommand) Execute([]string) error {
-	id, cl, err := c.app.target(c.Args.Job)
+	id, cl, err := c.app.jobAndClient(c.Args.Job)
 	if err != nil {
 		return err
 	}
@@ -193,7 +194,7 @@
 
 // Execute prints the explanation of a job.
 func (c *explainCommand) Execute([]string) error {
-	id, cl, err := c.app.target(c.Args.Job)
+	id, cl, err := c.app.jobAndClient(c.Args.Job)
 	if err != nil {
 		return err
 	}
@@ -219,7 +220,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// printRaw writes JSON as it is, or indented for people.
+// printRaw writes raw as JSON output, and as indented text otherwise.
 func (a *app) printRaw(raw json.RawMessage) error {
 	indented, err := json.MarshalIndent(raw, "", "  ")
 	if err != nil {
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -17,9 +17,9 @@
 
 // Execute checks the files and reports all their mistakes at once.
 func (c *validateCommand) Execute([]string) error {
-	check := c.documents
+	check := c.checkDocuments
 	if c.Settings {
-		check = c.settings
+		check = c.checkSettings
 	}
 	if err := check(); err != nil {
 		return err
@@ -27,7 +27,7 @@
 	return c.app.print(map[string]bool{"valid": true}, fmt.Sprintf("%d files are valid", len(c.Args.Files)))
 }
 
-func (c *validateCommand) settings() error {
+func (c *validateCommand) checkSettings() error {
 	var mistakes []*apierr.Error
 	for _, name := range c.Args.Files {
 		if _, err := settings.Load(name); err != nil {
@@ -40,20 +40,21 @@
 	return nil
 }
 
-func (c *validateCommand) documents() error {
+func (c *validateCommand) checkDocuments() error {
 	docs, err := config.LoadDocuments(c.Args.Files...)
 	if err != nil {
 		return err
 	}
-	existing, err := c.existing()
+	existing, err := c.snapshotInForce()
 	if err != nil {
 		return err
 	}
 	return config.CheckDocuments(docs, existing)
 }
 
-// existing returns what the documents are checked against; nil: nothing.
-func (c *validateCommand) existing() (*config.Snapshot, error) {
+// snapshotInForce returns the configuration to check the documents against, or nil
+// without --in-force.
+func (c *validateCommand) snapshotInForce() (*config.Snapshot, error) {
 	if !c.InForce {
 		return nil, nil
 	}
--- a/internal/cli/validate_test.go
+++ b/internal/cli/validate_test.go
@@ -15,7 +15,7 @@
 	"github.com/cyclamentray/cyclamentray/internal/httpjson"
 )
 
-func run(t *testing.T, args ...string) (code int, out, errOut string) {
+func runCLI(t *testing.T, args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Run(t.Context(), args, &o, &e)
 	return code, o.String(), e.String()
@@ -53,7 +53,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			code, out, errOut := run(t, append([]string{"validate", "--address", host.URL}, c.args...)...)
+			code, out, errOut := runCLI(t, append([]string{"validate", "--address", host.URL}, c.args...)...)
 			must.StrContains(t, out+errOut, c.want)
 			must.Eq(t, c.code, code)
 		})
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sizes grow up to the size to design for.
+// sizes are fractions of the deployment size that the system is designed for.
 var sizes = []size{
 	{"eighth", 121, 1125, 45, 8},
 	{"quarter", 242, 2250, 90, 8},
@@ -14,50 +14,51 @@
 }
 
 const (
-	window      = 12 * time.Second
+	idleWindow  = 12 * time.Second
 	edits       = 10
 	editSpacing = 500 * time.Millisecond
 	extraJobs   = 10
 )
 
-// BenchmarkControl reports what an entry host spends on control while nothing
-// changes, and what one edit and one job add to that. Run it with
-// -benchtime=1x. Figures are of one process: the scheduler of a failure domain
-// with a quarter of the tasks, and a neighbour that is not.
+// BenchmarkControl reports the resources that an entry host uses for the control
+// plane while nothing changes, and what one edit and one job add to that. Run it
+// with -benchtime=1x. Each figure is of one process: the scheduler of a failure
+// domain that runs a quarter of the tasks, or an entry host of the same failure
+// domain that is not its scheduler.
 func BenchmarkControl(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
 			for range b.N {
-				measure(b, s)
+				measureControl(b, s)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, s size) {
+func measureControl(b *testing.B, s size) {
 	d := newDeployment(b, s)
 	jobs := s.tasks / failureDomains / gangTasks
 	d.submit("j", jobs)
 	d.awaitRunning(jobs * gangTasks)
-	time.Sleep(5 * time.Second) // renewals settle
+	time.Sleep(5 * time.Second) // until the rate of lease renewals is steady
 	roles := d.roles()
 
-	calls := total(d.store.Calls())
-	idle := d.during(roles, func() { time.Sleep(window) })
-	b.ReportMetric(float64(total(d.store.Calls())-calls)/window.Seconds(), "platform-calls/s")
+	calls := sumCalls(d.store.Calls())
+	idle := d.measureDuring(roles, func() { time.Sleep(idleWindow) })
+	b.ReportMetric(float64(sumCalls(d.store.Calls())-calls)/idleWindow.Seconds(), "platform-calls/s")
 	for i, r := range roles {
 		idle[i].report(b, r.name)
 	}
 
-	edited := d.during(roles, func() {
+	edited := d.measureDuring(roles, func() {
 		for i := range edits {
-			if err := d.apply(d.service(5, 1000+i)); err != nil {
+			if err := d.apply(d.serviceDocument(5, 1000+i)); err != nil {
 				b.Fatal(err)
 			}
 			time.Sleep(editSpacing)
 		}
 	})
-	submitted := d.during(roles, func() {
+	submitted := d.measureDuring(roles, func() {
 		d.submit("x", extraJobs)
 		d.awaitRunning((jobs + extraJobs) * gangTasks)
 	})
@@ -67,15 +68,16 @@
 	}
 }
 
-// role is a process that is measured.
+// role is a measured process: the scheduler, or a plain entry host.
 type role struct {
 	name    string
 	pid     int
 	address string
 }
 
-// during measures each role while run runs. The reading of counters is left out.
-func (d *deployment) during(roles [2]role, run func()) (out [2]rate) {
+// measureDuring returns what each role uses during run. The cost of reading the
+// byte counters is excluded.
+func (d *deployment) measureDuring(roles [2]role, run func()) (out [2]windowUsage) {
 	var before, after [2]usage
 	var counters [2]map[string]float64
 	for i, r := range roles {
@@ -87,7 +89,7 @@
 		after[i] = readUsage(d.b, r.pid)
 	}
 	for i, r := range roles {
-		out[i] = between(before[i], after[i])
+		out[i] = usageBetween(before[i], after[i])
 		now := scrape(d.b, r.address)
 		out[i].platform = now["platform"] - counters[i]["platform"]
 		out[i].peers = now["peer"] - counters[i]["peer"]
@@ -95,7 +97,7 @@
 	return out
 }
 
-func total(calls map[string]int) int {
+func sumCalls(calls map[string]int) int {
 	n := 0
 	for _, c := range calls {
 		n += c
@@ -103,18 +105,18 @@
 	return n
 }
 
-// rate is a process's use over a window.
-type rate struct {
+// windowUsage is what a process uses within a period of time.
+type windowUsage struct {
 	seconds float64
 	cpu     float64 // seconds of processor time
-	bytes   float64 // both ways, over all connections
-	memory  float64
+	bytes   float64 // read and written, over all connections
+	memory  float64 // resident, in bytes
 
-	platform, peers float64 // parts of bytes
+	platform, peers float64 // shares of bytes, by the counters of the process
 }
 
-func between(a, b usage) rate {
-	return rate{
+func usageBetween(a, b usage) windowUsage {
+	return windowUsage{
 		seconds: b.at.Sub(a.at).Seconds(),
 		cpu:     (b.cpu - a.cpu).Seconds(),
 		bytes:   float64(b.bytes - a.bytes),
@@ -122,7 +124,7 @@
 	}
 }
 
-func (r rate) report(b *testing.B, role string) {
+func (r windowUsage) report(b *testing.B, role string) {
 	b.ReportMetric(100*r.cpu/r.seconds, role+"-cpu-%")
 	b.ReportMetric(r.bytes/r.seconds, role+"-B/s")
 	b.ReportMetric(r.platform/r.seconds, role+"-platform-B/s")
@@ -130,8 +132,8 @@
 	b.ReportMetric(r.memory/(1<<20), role+"-MB")
 }
 
-// reportEach reports what each of n events added to the idle rate.
-func (r rate) reportEach(b *testing.B, role, event string, n int, idle rate) {
+// reportEach reports what each of n events used in addition to the idle process.
+func (r windowUsage) reportEach(b *testing.B, role, event string, n int, idle windowUsage) {
 	cpu := r.cpu - idle.cpu*r.seconds/idle.seconds
 	bytes := r.bytes - idle.bytes*r.seconds/idle.seconds
 	b.ReportMetric(1000*cpu/float64(n), role+"-ms/"+event)
--- a/internal/cost/deployment_test.go
+++ b/internal/cost/deployment_test.go
@@ -34,16 +34,16 @@
 	callerToken    = "caller"
 	failureDomains = 4
 	gangTasks      = 8
-	rackWorkers    = 6
-	measured       = "n0" // the failure domain that has jobs
+	workersPerRack = 6
+	measuredDomain = "n0" // the failure domain that runs all jobs
 )
 
-// size is a deployment's size, over all failure domains.
+// size is the size of a deployment over all its failure domains.
 type size struct {
 	name       string
 	workers    int
 	tasks      int
-	documents  int // services; each has its team
+	documents  int // services, each with a team of its own
 	entryHosts int
 }
 
@@ -78,7 +78,7 @@
 	for _, h := range d.hosts[s.workers:] {
 		d.startHost(program, h)
 	}
-	d.configure()
+	d.applyDocuments()
 	return d
 }
 
@@ -98,12 +98,12 @@
 	d.workers = append(d.workers, w)
 	d.hosts = append(d.hosts, kvstore.Host{
 		Name: fmt.Sprintf("%s-w%d", fd, i), Kind: kvstore.Worker, FailureDomain: fd, Accelerators: accelerators,
-		Rack: fmt.Sprintf("%s-r%d", fd, i/failureDomains/rackWorkers), Address: d.serve(w),
+		Rack: fmt.Sprintf("%s-r%d", fd, i/failureDomains/workersPerRack), Address: d.serve(w),
 	})
 }
 
-// nextPort is the next port to try for an entry host. It lies below the range
-// that the kernel gives to outgoing connections.
+// nextPort is the next port to try for an entry host. It is below the range that
+// the kernel assigns to outgoing connections.
 var nextPort = 20000
 
 func freeAddress(b *testing.B) string {
@@ -142,8 +142,9 @@
 	})
 }
 
-// configure puts the documents in force: half the teams to each organisation.
-func (d *deployment) configure() {
+// applyDocuments puts the documents in force, with the teams divided among 4
+// organisations, and waits until all entry hosts are ready.
+func (d *deployment) applyDocuments() {
 	var docs []string
 	for i := range failureDomains {
 		docs = append(docs, fmt.Sprintf(`{"kind": "failure-domain", "name": "n%d", "region": "region"}`, i))
@@ -159,11 +160,11 @@
 		docs = append(docs, fmt.Sprintf(`{"kind": "organisation", "name": "o%d", "tokenHashes": [%q], "teams": [%s]}`, o, auth.HashToken(fmt.Sprint(callerToken, o)), teams))
 	}
 	for t := range d.size.documents {
-		docs = append(docs, d.service(t, 3600))
+		docs = append(docs, d.serviceDocument(t, 3600))
 	}
 	d.eventually(func() bool { return d.apply(docs...) == nil })
 	d.eventually(func() bool {
-		for _, h := range d.entries() {
+		for _, h := range d.entryHosts() {
 			resp, err := http.Get("http://" + h.Address + "/readyz")
 			if err != nil {
 				return false
@@ -177,47 +178,46 @@
 	})
 }
 
-func (d *deployment) service(t, runSeconds int) string {
+func (d *deployment) serviceDocument(t, runSeconds int) string {
 	return fmt.Sprintf(`{"kind": "service", "name": "s%d", "organisation": "o%d", "team": "t%d",
 		"jobs": [{"name": "train", "shape": {"tasks": %d, "acceleratorsPerTask": 1, "adjacency": "rack"}, "runSeconds": %d, "checkpoint": true}]}`,
 		t, t%4, t, gangTasks, runSeconds)
 }
 
-func (d *deployment) entries() []kvstore.Host { return d.hosts[d.size.workers:] }
+func (d *deployment) entryHosts() []kvstore.Host { return d.hosts[d.size.workers:] }
 
 func (d *deployment) apply(docs ...string) error {
 	var raw []json.RawMessage
 	for _, doc := range docs {
 		raw = append(raw, json.RawMessage(doc))
 	}
-	_, err := client.New("http://"+d.entries()[1].Address, operatorToken).Apply(context.Background(), api.ApplyRequest{Documents: raw})
+	_, err := client.New("http://"+d.entryHosts()[1].Address, operatorToken).Apply(context.Background(), api.ApplyRequest{Documents: raw})
 	return err
 }
 
-// submit submits jobs that fill the measured failure domain, and waits until
-// their tasks run.
+// submit submits jobs to the measured failure domain.
 func (d *deployment) submit(prefix string, jobs int) {
-	c := d.callers()
+	c := d.callerClients()
 	for i := range jobs {
 		spec := job.Spec{
 			ID:       job.ID{Organisation: fmt.Sprint("o", i%4), Service: fmt.Sprint("s", i%4), Name: fmt.Sprint(prefix, i)},
 			Template: "train", Shape: job.Shape{Tasks: gangTasks, AcceleratorsPerTask: 1, Adjacency: job.SameRack},
-			DeclaredRun: time.Hour, Checkpoint: true, FailureDomain: measured,
+			DeclaredRun: time.Hour, Checkpoint: true, FailureDomain: measuredDomain,
 		}
 		_, err := c[i%4].Submit(context.Background(), spec)
 		must.NoError(d.b, err)
 	}
 }
 
-func (d *deployment) callers() []*client.Client {
+func (d *deployment) callerClients() []*client.Client {
 	var out []*client.Client
 	for o := range 4 {
-		out = append(out, client.New("http://"+d.entries()[0].Address, fmt.Sprint(callerToken, o)))
+		out = append(out, client.New("http://"+d.entryHosts()[0].Address, fmt.Sprint(callerToken, o)))
 	}
 	return out
 }
 
-func (d *deployment) running() int {
+func (d *deployment) runningTasks() int {
 	n := 0
 	for _, w := range d.workers {
 		for _, t := range w.Tasks().Tasks {
@@ -232,46 +232,48 @@
 func (d *deployment) awaitRunning(tasks int) {
 	d.b.Helper()
 	for range 60 {
-		if d.running() >= tasks {
+		if d.runningTasks() >= tasks {
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	list, err := d.callers()[0].Jobs(context.Background(), job.Queued)
+	list, err := d.callerClients()[0].Jobs(context.Background(), job.Queued)
 	if err == nil && len(list.Jobs) > 0 {
-		why, _ := d.callers()[0].Explain(context.Background(), list.Jobs[0].Spec.ID)
+		why, _ := d.callerClients()[0].Explain(context.Background(), list.Jobs[0].Spec.ID)
 		d.b.Logf("%s", why.Why)
 	}
-	d.b.Fatalf("%d of %d tasks run", d.running(), tasks)
+	d.b.Fatalf("%d of %d tasks run", d.runningTasks(), tasks)
 }
 
-// roles returns the measured failure domain's scheduler and a neighbour of it.
+// roles returns the scheduler of the measured failure domain and another entry
+// host of that failure domain.
 func (d *deployment) roles() (out [2]role) {
 	var scheduler string
 	d.eventually(func() bool {
-		top, err := client.New("http://"+d.entries()[0].Address, operatorToken).Top(context.Background())
+		top, err := client.New("http://"+d.entryHosts()[0].Address, operatorToken).Top(context.Background())
 		if err != nil {
 			return false
 		}
 		for _, h := range top.Hosts {
-			if h.FailureDomain == measured && h.Term != 0 {
+			if h.FailureDomain == measuredDomain && h.Term != 0 {
 				scheduler = h.Name
 			}
 		}
 		return scheduler != ""
 	})
-	for _, h := range d.entries() {
+	for _, h := range d.entryHosts() {
 		switch {
 		case h.Name == scheduler:
 			out[0] = role{"scheduler", d.pids[h.Name], h.Address}
-		case h.FailureDomain == measured:
+		case h.FailureDomain == measuredDomain:
 			out[1] = role{"plain", d.pids[h.Name], h.Address}
 		}
 	}
 	return out
 }
 
-// scrape sums an entry host's byte counters by slice.
+// scrape returns the sums of an entry host's byte counters, by the package in the
+// metric's name.
 func scrape(b *testing.B, address string) map[string]float64 {
 	b.Helper()
 	resp, err := http.Get("http://" + address + "/metrics")
--- a/internal/cost/process_test.go
+++ b/internal/cost/process_test.go
@@ -11,14 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// ticksPerSecond is the unit of processor time in /proc/PID/stat.
+// ticksPerSecond is the number of clock ticks, the unit of processor time in
+// /proc/PID/stat, per second.
 const ticksPerSecond = 100
 
 // usage is what a process has used since it started.
 type usage struct {
 	at     time.Time
 	cpu    time.Duration
-	bytes  int // read and written, over all sockets
+	bytes  int // rchar and wchar: read and written, over all sockets and files
 	memory int // resident, in bytes
 }
 
--- a/internal/countedconn/countedconn.go
+++ b/internal/countedconn/countedconn.go
@@ -1,4 +1,5 @@
-// Package countedconn counts the bytes of network connections.
+// Package countedconn counts the bytes sent and received on network connections.
+// The packages kvstore and peer use it for their byte metrics.
 package countedconn
 
 import (
@@ -7,14 +8,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// conn is a connection whose bytes are counted.
+// conn is a net.Conn that counts its bytes.
 type conn struct {
 	net.Conn
 	in, out *metrics.Counter
 }
 
-// New wraps c so that its bytes are counted in set, under the metric name with
-// a label for each direction.
+// New wraps c so that its bytes are counted in set, in the metric name with the
+// label direction="in" or direction="out".
 func New(c net.Conn, set *metrics.Set, name string) net.Conn {
 	return &conn{
 		Conn: c,
@@ -23,14 +24,14 @@
 	}
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(n)
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(n)
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,4 +1,5 @@
-// Package defaults fills in what the Options of a slice leave out.
+// Package defaults supplies defaults for options that may be nil. Constructors of
+// other packages call it. It holds no state.
 package defaults
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// Now returns now, or the system's clock.
+// Now returns now, or time.Now if it is nil.
 func Now(now func() time.Time) func() time.Time {
 	if now == nil {
 		return time.Now
@@ -17,7 +18,7 @@
 	return now
 }
 
-// Logger returns l, or a logger that drops everything.
+// Logger returns l, or a logger that discards everything if it is nil.
 func Logger(l *log.Logger) *log.Logger {
 	if l == nil {
 		return log.New(io.Discard)
@@ -25,7 +26,7 @@
 	return l
 }
 
-// Metrics returns set, or one that nobody reads.
+// Metrics returns set, or a new set that is not exported if it is nil.
 func Metrics(set *metrics.Set) *metrics.Set {
 	if set == nil {
 		return metrics.NewSet()
--- a/internal/docs/doc.go
+++ b/internal/docs/doc.go
@@ -1,2 +1,3 @@
-// Package docs holds tests that keep the pages under docs true.
+// Package docs holds tests that check the pages under docs against the code: named
+// tests and linked files must exist.
 package docs
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -19,8 +19,9 @@
 	linkPath = regexp.MustCompile(`\]\(([^)#:]+)\)`)
 )
 
-// sources returns the contents of the files below root that keep accepts.
-func sources(t *testing.T, keep func(path string) bool) map[string]string {
+// readFiles returns the contents, by path, of the files below root for which keep
+// returns true.
+func readFiles(t *testing.T, keep func(path string) bool) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -35,10 +36,11 @@
 	return found
 }
 
-// Every test that the page of proofs names exists; a name may end in *.
+// Every test named in docs/PROOFS.md must exist. A name that ends in * stands for
+// any test with that prefix.
 func TestProofsNameTestsThatExist(t *testing.T) {
 	var names []string
-	for _, text := range sources(t, func(path string) bool { return strings.HasSuffix(path, "_test.go") }) {
+	for _, text := range readFiles(t, func(path string) bool { return strings.HasSuffix(path, "_test.go") }) {
 		for _, m := range testFunc.FindAllStringSubmatch(text, -1) {
 			names = append(names, m[1])
 		}
@@ -55,9 +57,9 @@
 	}
 }
 
-// Every relative link between pages leads to a file.
+// Every relative link in a Markdown page must lead to a file.
 func TestLinksLeadToFiles(t *testing.T) {
-	pages := sources(t, func(path string) bool { return strings.HasSuffix(path, ".md") })
+	pages := readFiles(t, func(path string) bool { return strings.HasSuffix(path, ".md") })
 	for page, text := range pages {
 		for _, m := range linkPath.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), m[1]))
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden compares what a test produced with a committed file. Files are
-// rewritten only under the explicit flag -update:
+// Package golden compares the output of a test with a committed file. Files are
+// rewritten only if the flag -update is set:
 //
 //	go test ./internal/golden -update
 //
-// Tests alone import this package.
+// Only tests import this package.
 package golden
 
 import (
@@ -24,12 +24,12 @@
 	CheckFile(t, filepath.Join("testdata", name+".golden"), got)
 }
 
-// CheckFile compares got with a file, and fails the test with the first line
-// that differs.
+// CheckFile compares got with the file at path. If they differ, it fails the test
+// and prints the first line that differs.
 func CheckFile(t testing.TB, path, got string) {
 	t.Helper()
 	if *update {
-		rewrite(t, path, got)
+		rewriteFile(t, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
@@ -41,7 +41,7 @@
 	}
 }
 
-func rewrite(t testing.TB, path, got string) {
+func rewriteFile(t testing.TB, path, got string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 	}
 }
 
-// difference describes the first line that differs, or returns "".
+// difference describes the first line that differs. It returns "" for equal texts.
 func difference(want, got string) string {
 	if want == got {
 		return ""
@@ -72,20 +72,21 @@
 	return lines[i]
 }
 
-// Rule replaces text that differs from run to run by a fixed mark.
+// Rule replaces text that varies between runs, such as times, by a fixed
+// placeholder.
 type Rule struct {
 	Pattern     *regexp.Regexp
 	Placeholder string
 }
 
-// The rules for text that no run repeats.
+// Rules for common kinds of varying text.
 var (
 	Times     = Rule{regexp.MustCompile(`\d{4}-\d{2}-\d{2}T\d{2}:\d{2}:\d{2}(\.\d+)?(Z|[+-]\d{2}:\d{2})`), "TIME"}
 	Durations = Rule{regexp.MustCompile(`\b(\d+h)?(\d+m)?\d+(\.\d+)?(ns|µs|us|ms|s)\b`), "DURATION"}
 	Addresses = Rule{regexp.MustCompile(`\b127\.0\.0\.1:\d+\b`), "ADDRESS"}
 )
 
-// Scrub applies rules in order.
+// Scrub returns text with rules applied in order.
 func Scrub(text string, rules ...Rule) string {
 	for _, r := range rules {
 		text = r.Pattern.ReplaceAllString(text, r.Placeholder)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -8,34 +8,35 @@
 	"github.com/shoenig/test/must"
 )
 
-// failure records a failed comparison in place of failing the test.
-type failure struct {
+// fatalRecorder is a testing.TB whose Fatalf records the message and panics
+// instead of failing the test.
+type fatalRecorder struct {
 	testing.TB
 	message string
 }
 
-func (f *failure) Helper() {}
+func (f *fatalRecorder) Helper() {}
 
-func (f *failure) Fatalf(format string, _ ...any) {
+func (f *fatalRecorder) Fatalf(format string, _ ...any) {
 	f.message = format
 	panic(f)
 }
 
-func check(t *testing.T, path, got string) (failed bool) {
+func checkFails(t *testing.T, path, got string) (failed bool) {
 	defer func() { failed = recover() != nil }()
-	CheckFile(&failure{TB: t}, path, got)
+	CheckFile(&fatalRecorder{TB: t}, path, got)
 	return false
 }
 
 func TestCheckFile_OnlyUpdateRewrites(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "session.golden")
-	must.True(t, check(t, path, "one\n"), must.Sprint("a missing file must fail"))
+	must.True(t, checkFails(t, path, "one\n"), must.Sprint("a missing file must fail"))
 
 	*update = true
-	must.False(t, check(t, path, "one\n"))
+	must.False(t, checkFails(t, path, "one\n"))
 	*update = false
-	must.False(t, check(t, path, "one\n"))
-	must.True(t, check(t, path, "two\n"))
+	must.False(t, checkFails(t, path, "one\n"))
+	must.True(t, checkFails(t, path, "two\n"))
 
 	kept, err := os.ReadFile(path)
 	must.NoError(t, err)
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,6 +1,7 @@
-// Package httpjson reads and writes JSON bodies over net/http. Bodies are
-// bounded, unknown fields are refused, and errors are written as
-// {"error": apierr.Error} with the status of their kind.
+// Package httpjson reads and writes JSON bodies with net/http. Request bodies are
+// limited in size, unknown fields are rejected, and errors are written as
+// {"error": apierr.Error} with the HTTP status of their kind. HTTP handlers and
+// package client use it; it holds no state.
 package httpjson
 
 import (
@@ -17,7 +18,7 @@
 
 const contentType = "application/json"
 
-// ErrorBody is the body of every answer that reports an error.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Error *apierr.Error `json:"error"`
 }
@@ -35,8 +36,8 @@
 	return data, nil
 }
 
-// Read decodes a body of at most limit bytes, holding exactly one JSON value,
-// into v. Unknown fields are mistakes.
+// Read decodes a body of at most limit bytes that holds exactly one JSON value
+// into v. It rejects unknown fields.
 func Read(w http.ResponseWriter, r *http.Request, limit int64, v any) error {
 	data, err := ReadBytes(w, r, limit)
 	if err != nil {
@@ -45,12 +46,12 @@
 	return Decode(data, v)
 }
 
-// Decode decodes exactly one JSON value into v, refusing unknown fields.
+// Decode decodes exactly one JSON value into v. It rejects unknown fields.
 func Decode(data []byte, v any) error {
 	d := json.NewDecoder(strings.NewReader(string(data)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return malformed(err)
+		return decodeError(err)
 	}
 	if _, err := d.Token(); err != io.EOF {
 		return apierr.New(apierr.InvalidInput, "body holds more than one JSON value", "send exactly one JSON value")
@@ -58,7 +59,7 @@
 	return nil
 }
 
-func malformed(err error) *apierr.Error {
+func decodeError(err error) *apierr.Error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		message := fmt.Sprintf("%s where %s is expected", wrongType.Value, wrongType.Type)
@@ -73,7 +74,7 @@
 	return apierr.New(apierr.InvalidInput, "malformed JSON: "+err.Error(), "send one well-formed JSON value")
 }
 
-// Write answers with v as JSON.
+// Write writes a response with v as JSON.
 func Write(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -82,17 +83,18 @@
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(append(data, '\n')) // a caller that has gone away needs no answer
+	_, _ = w.Write(append(data, '\n')) // an error means that the caller has disconnected
 }
 
-// WriteError answers with the typed error in err's chain and its status.
+// WriteError writes a response with the typed error in err's chain and the HTTP
+// status of its kind.
 func WriteError(w http.ResponseWriter, err error) {
 	e := apierr.From(err)
 	Write(w, e.Status(), ErrorBody{Error: e})
 }
 
-// ReadError returns the typed error that an answer's body carries, or one that
-// names the status when it carries none.
+// ReadError returns the typed error in a response's body. If there is none, it
+// returns an Internal error that contains the status.
 func ReadError(status int, body []byte) *apierr.Error {
 	var b ErrorBody
 	if err := json.Unmarshal(body, &b); err == nil && b.Error != nil && b.Error.Kind != "" {
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -59,6 +59,6 @@
 	must.Eq(t, `{"error":{"kind":"conflict","message":"revision 3 is in force","remedy":"read it again"}}`+"\n", w.Body.String())
 }
 
-func TestReadError_AnswerOfSomethingElse(t *testing.T) {
+func TestReadError_BodyWithoutTypedError(t *testing.T) {
 	must.ErrorContains(t, ReadError(502, []byte("<html>")), "status 502 carries no error")
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits without outliving its caller.
+// Package pause waits for a duration or until a context ends, once or with
+// exponential backoff. Loops that retry or poll call it.
 package pause
 
 import (
@@ -6,24 +7,24 @@
 	"time"
 )
 
-// Backoff waits longer after each failure in a row. It isn't safe for
-// concurrent use.
+// Backoff is an exponential backoff: each wait after consecutive failures is twice
+// as long as the one before. It isn't safe for concurrent use.
 type Backoff struct {
-	Initial time.Duration // after one failure
-	Max     time.Duration
+	Initial time.Duration // wait after the first failure
+	Max     time.Duration // limit of later waits
 
 	next time.Duration
 }
 
-// Wait waits for the pause that is due and doubles the next one. It returns
-// false when ctx ended first.
+// Wait waits for the current backoff and doubles the next one, up to Max. It
+// returns false if ctx ended first.
 func (b *Backoff) Wait(ctx context.Context) bool {
-	due := max(b.next, b.Initial)
-	b.next = min(2*due, b.Max)
-	return For(ctx, due)
+	delay := max(b.next, b.Initial)
+	b.next = min(2*delay, b.Max)
+	return For(ctx, delay)
 }
 
-// Reset notes a success.
+// Reset makes the next wait last Initial. It is called after a success.
 func (b *Backoff) Reset() { b.next = 0 }
 
 // For waits for d. It returns false when ctx ended first.
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamentray/cyclamentray/internal/pause"
 )
 
-// Pauses double up to their limit and begin anew after a success.
+// Waits double up to Max and start again at Initial after Reset.
 func TestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := pause.Backoff{Initial: 100 * time.Millisecond, Max: 300 * time.Millisecond}
@@ -27,7 +27,7 @@
 	})
 }
 
-// A pause does not outlive its caller.
+// Wait returns at once when its context has ended.
 func TestBackoffEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/schema/describe.go
+++ b/internal/schema/describe.go
@@ -7,27 +7,28 @@
 	"text/tabwriter"
 )
 
-// Describe prints one line a field: path, type, unit, default, range, meaning.
+// Describe writes a table with one line per field: path, type, unit, default,
+// allowed values and description.
 func Describe(w io.Writer, f *Field) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "FIELD\tTYPE\tUNIT\tDEFAULT\tTAKES\tMEANING")
 	for i := range f.Fields {
-		describe(tw, &f.Fields[i], "")
+		describeField(tw, &f.Fields[i], "")
 	}
 	return tw.Flush()
 }
 
-func describe(w io.Writer, f *Field, prefix string) {
-	path := join(prefix, f.Name)
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", path, f.Type, dash(f.Unit), defaultText(f), takes(f), f.Doc)
+func describeField(w io.Writer, f *Field, prefix string) {
+	path := joinPath(prefix, f.Name)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", path, f.Type, orDash(f.Unit), defaultText(f), allowedText(f), f.Doc)
 	for i := range f.Fields {
-		describe(w, &f.Fields[i], path)
+		describeField(w, &f.Fields[i], path)
 	}
 	if f.Elem == nil {
 		return
 	}
 	for i := range f.Elem.Fields {
-		describe(w, &f.Elem.Fields[i], path+"[]")
+		describeField(w, &f.Elem.Fields[i], path+"[]")
 	}
 }
 
@@ -43,7 +44,7 @@
 	return fmt.Sprint(f.Default)
 }
 
-func takes(f *Field) string {
+func allowedText(f *Field) string {
 	switch {
 	case len(f.Enum) > 0:
 		return strings.Join(f.Enum, "|")
@@ -59,7 +60,7 @@
 	return "-"
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/schema/example.go
+++ b/internal/schema/example.go
@@ -6,36 +6,36 @@
 	"strings"
 )
 
-// Example writes a document with every field, each after a comment with its
-// meaning, unit, default and range. Sample gives the values of fields without
-// a default, by path.
+// Example returns a document with every field, each preceded by a comment with
+// its description, unit, default and range. sample holds values by path, for
+// fields that have no default.
 func Example(f *Field, sample map[string]any) string {
-	e := &exampler{sample: sample}
-	e.object(f, "", "")
+	e := &exampleWriter{sample: sample}
+	e.writeObject(f, "", "")
 	e.out.WriteString("\n")
 	return e.out.String()
 }
 
-type exampler struct {
+type exampleWriter struct {
 	sample map[string]any
 	out    strings.Builder
 }
 
-func (e *exampler) object(f *Field, path, indent string) {
+func (e *exampleWriter) writeObject(f *Field, path, indent string) {
 	e.out.WriteString("{\n")
 	inner := indent + "  "
 	for i := range f.Fields {
 		m := &f.Fields[i]
-		fmt.Fprintf(&e.out, "%s// %s\n%s%q: ", inner, comment(m), inner, m.Name)
-		e.value(m, join(path, m.Name), inner)
+		fmt.Fprintf(&e.out, "%s// %s\n%s%q: ", inner, fieldComment(m), inner, m.Name)
+		e.writeValue(m, joinPath(path, m.Name), inner)
 		e.out.WriteString(",\n")
 	}
 	e.out.WriteString(indent + "}")
 }
 
-func (e *exampler) value(f *Field, path, indent string) {
+func (e *exampleWriter) writeValue(f *Field, path, indent string) {
 	if f.Type == Object {
-		e.object(f, path, indent)
+		e.writeObject(f, path, indent)
 		return
 	}
 	v := f.Default
@@ -52,8 +52,8 @@
 	e.out.Write(text)
 }
 
-// comment says what a field means and takes.
-func comment(f *Field) string {
+// fieldComment returns the text of the comment before a field.
+func fieldComment(f *Field) string {
 	parts := []string{f.Doc}
 	if f.Unit != "" {
 		parts = append(parts, "in "+f.Unit)
@@ -64,7 +64,7 @@
 	if f.Default != nil {
 		parts = append(parts, "default "+defaultText(f))
 	}
-	if t := takes(f); t != "-" {
+	if t := allowedText(f); t != "-" {
 		parts = append(parts, "takes "+t)
 	}
 	return strings.Join(parts, "; ")
--- a/internal/schema/field.go
+++ b/internal/schema/field.go
@@ -1,13 +1,14 @@
-// Package schema checks JSON with comments against a description of its
-// fields. It reports every mistake at once, each with file, line, field and
-// remedy, and fills in defaults, so that the description is the one place that
-// states units, defaults and ranges.
+// Package schema validates JSON with comments against a schema of its fields. It
+// reports all mistakes at once, each with file, line, field and remedy, and fills
+// in defaults, so that units, defaults and ranges are defined only in the schema.
+// It also generates tables of the fields and example documents. The packages
+// config and settings call it; it holds no state.
 package schema
 
-// Type is the type of a field's value.
+// Type is the JSON type of a field's value.
 type Type string
 
-// The types of value.
+// Values of Type.
 const (
 	String Type = "string"
 	Int    Type = "integer"
@@ -16,25 +17,25 @@
 	List   Type = "list"
 )
 
-// Field describes one value of a document.
+// Field is the schema of one value of a document.
 type Field struct {
 	Name     string
 	Type     Type
 	Doc      string
-	Unit     string   // of an integer, such as "ms"
+	Unit     string   // unit of an integer, such as "ms"
 	Default  any      // used when the field is absent: a string, int or bool
-	Required bool     // the field must be present and, if a string, not empty
-	Optional bool     // an object that may be absent altogether
+	Required bool     // the field must be present and, if it is a string, not be empty
+	Optional bool     // an object that may be absent; others are then treated as empty
 	Min, Max int      // range of an integer or of a list's length; both 0: not bounded
-	Enum     []string // the only strings allowed
-	Format   *Format  // what a string must look like
-	Fields   []Field  // of an object
-	Elem     *Field   // of a list
+	Enum     []string // allowed values of a string
+	Format   *Format  // format of a string
+	Fields   []Field  // members of an object
+	Elem     *Field   // elements of a list
 }
 
-// Format says what a string must look like.
+// Format is a format that strings must have.
 type Format struct {
-	Name  string // such as "IP:port"
+	Name  string // shown in remedies and descriptions, such as "IP:port"
 	Valid func(string) bool
 }
 
--- a/internal/schema/nearest.go
+++ b/internal/schema/nearest.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// unknownRemedy suggests the known name nearest to an unknown one.
+// unknownRemedy returns the remedy for an unknown field: the most similar known
+// name if there is one, or the list of all.
 func unknownRemedy(name string, known []string) string {
 	if near := nearest(name, known); near != "" {
 		return "did you mean " + strconv.Quote(near) + "?"
@@ -13,7 +14,8 @@
 	return "remove it; known fields are " + strings.Join(known, ", ")
 }
 
-// nearest returns the known name within a third of name's length in edits, or "".
+// nearest returns the known name with the smallest edit distance to name,
+// ignoring case, or "" if all distances exceed a third of name's length plus 1.
 func nearest(name string, known []string) string {
 	best, bestDistance := "", len(name)/3+2
 	for _, k := range known {
@@ -24,7 +26,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/schema/read.go
+++ b/internal/schema/read.go
@@ -15,14 +15,14 @@
 // MaxBytes is the largest document read, in bytes.
 const MaxBytes = 1 << 20
 
-// maxDepth bounds the nesting of brackets, so that reading cannot exhaust the stack.
+// maxDepth limits the nesting of brackets, so that parsing cannot exhaust the stack.
 const maxDepth = 64
 
 // Source is a document that is well-formed JSON with comments.
 type Source struct {
 	Name  string // file name, for mistakes
 	Root  hujson.Value
-	lines []int // offset of each line's start, ascending
+	lines []int // offset of the start of each line, ascending
 }
 
 // Read parses data as JSON with comments and trailing commas.
@@ -33,20 +33,21 @@
 		e.File = name
 		return nil, e
 	}
-	if n := tooDeep(data); n >= 0 {
+	if n := tooDeepOffset(data); n >= 0 {
 		return nil, s.Mistake(n, "", fmt.Sprintf("brackets nest deeper than %d", maxDepth), "flatten the document")
 	}
 	root, err := hujson.Parse(data)
 	if err != nil {
-		return nil, s.malformed(err)
+		return nil, s.syntaxError(err)
 	}
 	s.Root = root
 	return s, nil
 }
 
-// tooDeep returns the offset where nesting exceeds maxDepth, or -1. It counts
-// brackets in strings and comments too, which errs on the safe side.
-func tooDeep(data []byte) int {
+// tooDeepOffset returns the offset where nesting exceeds maxDepth, or -1. It also
+// counts brackets in strings and comments, so it may reject a document that is
+// nested less deeply.
+func tooDeepOffset(data []byte) int {
 	depth := 0
 	for i, c := range data {
 		switch c {
@@ -64,7 +65,7 @@
 
 var linePattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): `)
 
-func (s *Source) malformed(err error) *apierr.Error {
+func (s *Source) syntaxError(err error) *apierr.Error {
 	message := err.Error()
 	e := apierr.Invalid("", "", "write JSON; comments and trailing commas are allowed")
 	e.File = s.Name
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,5 +1,6 @@
-// Package steady reads a clock that never jumps and that counts the time while
-// a machine is suspended, as leases held elsewhere do.
+// Package steady reads a monotonic clock that includes the time while the machine
+// is suspended. Leases held on other machines expire during that time too. The
+// packages of batch and platform call it. It holds no state.
 package steady
 
 import (
@@ -8,20 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a reading of the clock, in nanoseconds since the machine booted.
+// Time is a point in time, in nanoseconds since the machine booted.
 type Time int64
 
-// Now reads the clock.
+// Now returns the current time.
 func Now() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The kernel has had this clock since 2.6.39; only a filter refuses it.
-		return Time(time.Since(start))
+		// Linux has had this clock since 2.6.39, so the call fails only if a
+		// system call filter rejects it.
+		return Time(time.Since(processStart))
 	}
 	return Time(ts.Nano())
 }
 
-var start = time.Now()
+var processStart = time.Now()
 
 // Add returns t shifted by d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
