--- a/api/api.go
+++ b/api/api.go
@@ -35,7 +35,7 @@
 	Revision uint64 `json:"revision"` // at which the edit was accepted
 }
 
-// Explanation tells a caller why its job waits or what became of it.
+// Explanation is the reply to a request for why a job is waiting or how it ended.
 type Explanation struct {
 	Record        job.Record       `json:"record"`
 	FailureDomain string           `json:"failureDomain"`
--- a/auth/auth.go
+++ b/auth/auth.go
@@ -88,15 +88,15 @@
 }
 
 func matchCredential(sum Hash, candidates []Credential) (Identity, bool) {
-	at := -1
+	matched := -1
 	for i := range candidates {
 		equal := subtle.ConstantTimeCompare(sum[:], candidates[i].Hash[:])
-		at = subtle.ConstantTimeSelect(equal, i, at)
+		matched = subtle.ConstantTimeSelect(equal, i, matched)
 	}
-	if at < 0 {
+	if matched < 0 {
 		return Identity{}, false
 	}
-	return candidates[at].Identity, true
+	return candidates[matched].Identity, true
 }
 
 // Middleware rejects requests without a valid token, and puts the sender's
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -70,6 +70,6 @@
 	durationField("drainTimeoutSeconds", unitSeconds, 120, 1, 3600, "longest time for requests to finish on shutdown"),
 }
 
-func durationField(name, unit string, byDefault, lowest, highest int, doc string) schema.Field {
-	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: byDefault, Min: lowest, Max: highest, Doc: doc}
+func durationField(name, unit string, defaultValue, minValue, maxValue int, doc string) schema.Field {
+	return schema.Field{Name: name, Type: schema.Int, Unit: unit, Default: defaultValue, Min: minValue, Max: maxValue, Doc: doc}
 }
