--- a/entryhost/tls_test.go
+++ b/entryhost/tls_test.go
@@ -148,7 +148,7 @@
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&top))
 	reached := map[string]bool{}
 	for _, h := range top.Hosts {
-		reached[h.Name] = h.Unreached == ""
+		reached[h.Name] = h.UnreachableReason == ""
 	}
 	return reached
 }
--- a/entryhost/top.go
+++ b/entryhost/top.go
@@ -47,15 +47,15 @@
 	result := api.HostStatus{Name: p.Name, FailureDomain: p.FailureDomain, Draining: p.Leaving}
 	status, received := h.components.membership.Statuses()[p.Name]
 	if !received {
-		result.Unreached = "no heartbeat from it yet"
+		result.UnreachableReason = "no heartbeat from it yet"
 		return result
 	}
-	result.HeardAge = h.opts.Now().Sub(status.At)
+	result.HeartbeatAge = h.opts.Now().Sub(status.At)
 	result.Revision = status.Revision
-	result.ConfirmedAge = status.RevisionAge + result.HeardAge
+	result.ConfirmedAge = status.RevisionAge + result.HeartbeatAge
 	result.Term = status.Term
 	if h.components.membership.View().Silent[p.Name] {
-		result.Unreached = "it does not answer"
+		result.UnreachableReason = "it does not answer"
 	}
 	return result
 }
@@ -79,7 +79,7 @@
 	sum, scheduler, err := h.schedulerSummary(ctx, fd.Name)
 	status.Scheduler = scheduler
 	if err != nil {
-		status.Unknown = err.Error()
+		status.UnknownReason = err.Error()
 		return status
 	}
 	status.Queued = sum.Queued
--- a/kvstore/follower.go
+++ b/kvstore/follower.go
@@ -56,7 +56,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	var after uint64
 	lost := true
-	retry := pause.Backoff{First: firstRetryWait, Most: maxRetryWait}
+	retry := pause.Backoff{Initial: firstRetryWait, Max: maxRetryWait}
 	for ctx.Err() == nil {
 		if f.ReadStarted != nil {
 			f.ReadStarted()
