--- a/gang/actions.go
+++ b/gang/actions.go
@@ -18,8 +18,8 @@
 			r.FatalReason = t.fatalReason
 			a = r
 		}
-		e := actionCall{s: s, gang: t.run.Gang, term: s.term, record: t.record, workers: t.run.Workers}
-		s.ioCalls.Go(func() { e.execute(ctx, a) })
+		c := actionCall{s: s, gang: t.run.Gang, term: s.term, record: t.record, workers: t.run.Workers}
+		s.ioCalls.Go(func() { c.execute(ctx, a) })
 	}
 }
 
--- a/gang/assignment.go
+++ b/gang/assignment.go
@@ -32,11 +32,11 @@
 	return out
 }
 
-// gangsFromWorkers returns the assigned gangs by the workers' task lists. It
-// leaves out gangs of which not every task is running or finished.
+// gangsFromWorkers returns the assigned gangs as found in the workers' task lists.
+// It leaves out gangs of which not every task is running or finished.
 func (r *renewer) gangsFromWorkers(ctx context.Context) []AssignedGang {
 	var mu sync.Mutex
-	found := make(map[workerapi.Gang]map[int]string)
+	workersByTask := make(map[workerapi.Gang]map[int]string) // task index to worker
 	size := make(map[workerapi.Gang]int)
 	var g errgroup.Group
 	for _, h := range r.o.Membership.View().Workers(r.o.FailureDomain) {
@@ -51,10 +51,10 @@
 				if t.State != workerapi.TaskRunning && t.State != workerapi.TaskFinished {
 					continue
 				}
-				if found[t.Gang] == nil {
-					found[t.Gang] = make(map[int]string)
+				if workersByTask[t.Gang] == nil {
+					workersByTask[t.Gang] = make(map[int]string)
 				}
-				found[t.Gang][t.Index] = h.Name
+				workersByTask[t.Gang][t.Index] = h.Name
 				size[t.Gang] = t.GangTasks
 			}
 			return nil
@@ -63,7 +63,7 @@
 	_ = g.Wait()
 	assignment := newGangAssignment(r.o)
 	var out []AssignedGang
-	for gang, tasks := range found {
+	for gang, tasks := range workersByTask {
 		if len(tasks) != size[gang] || !assignment.assignedToSelf(tasks[0]) {
 			continue
 		}
--- a/gang/bench_test.go
+++ b/gang/bench_test.go
@@ -27,7 +27,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Size of one of the 8 failure domains that letter 1 describes.
+// Size of one of 8 failure domains that together have 970 workers and run 9,000
+// tasks.
 const (
 	benchWorkers        = 121  // 970 / 8
 	benchTasks          = 1125 // 9,000 / 8
--- a/gang/client.go
+++ b/gang/client.go
@@ -17,13 +17,13 @@
 
 const (
 	workerCallTimeout     = time.Second // of one call to a worker
-	maxWorkerReplyBytes   = 1 << 20     // bytes
-	maxIdleConnsPerWorker = 2           // connections
+	maxWorkerReplyBytes   = 1 << 20
+	maxIdleConnsPerWorker = 2
 )
 
 // WorkerCaller calls the workerapi path of the worker at address. args is the
-// request, nil for workerapi.PathTasks; the answer is decoded into reply, a
-// pointer. Implementations are safe for concurrent use.
+// request, nil for workerapi.PathTasks; the worker's reply is decoded into
+// reply, a pointer. Implementations are safe for concurrent use.
 type WorkerCaller interface {
 	Call(ctx context.Context, address, path string, args, reply any) error
 }
--- a/gang/cycle.go
+++ b/gang/cycle.go
@@ -78,7 +78,7 @@
 }
 
 // applyObservations passes the stored observations of renewals to their runs.
-// Applying an observation again is idempotent.
+// Applying an observation again has no further effect.
 func (s *Scheduler) applyObservations(ctx context.Context) {
 	s.mu.Lock()
 	var observations []Observation
@@ -104,6 +104,8 @@
 	return TasksListed{Worker: o.Worker, Answered: true, Tasks: o.Tasks}
 }
 
+// adoptRecorded returns a run for a job that the ledger lists as live, and the
+// run's first actions. A stop that the ledger has recorded is continued.
 func adoptRecorded(g workerapi.Gang, rec job.Record, now time.Time) (*Run, []Action) {
 	if rec.State != job.Stopping {
 		return AdoptRun(g, rec.Workers, now)
@@ -115,6 +117,8 @@
 	return ResumeStop(g, rec.Workers, request, now)
 }
 
+// isLive reports whether a job in the state has a gang that was placed and has not
+// ended.
 func isLive(s job.State) bool { return s == job.Placed || s == job.Running || s == job.Stopping }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -232,6 +236,8 @@
 	s.executeActions(ctx, t, actions)
 }
 
+// setWaitReasons replaces the wait reasons of the queued jobs. Jobs that waits does
+// not list get the reason otherwise.
 func (s *Scheduler) setWaitReasons(records map[string]job.Record, waits []placement.Hold, otherwise string) {
 	next := make(map[string]string, len(waits))
 	for key, rec := range records {
@@ -247,6 +253,7 @@
 	s.waitReasons = next
 }
 
+// setDeficits replaces the deficits. It logs each new one, and the end of the last.
 func (s *Scheduler) setDeficits(deficits []placement.Deficit) {
 	s.mu.Lock()
 	before := s.deficits
--- a/gang/estimates.go
+++ b/gang/estimates.go
@@ -24,7 +24,7 @@
 func newEstimatesState() estimatesState { return estimatesState{loaded: make(chan json.RawMessage, 1)} }
 
 // countOutcome updates the estimates, the quarantine and the counters with a
-// run's start and with its outcome, each once a run.
+// run's start and with its outcome, each once per run.
 func (s *Scheduler) countOutcome(t *trackedRun, r RecordState) {
 	now := s.o.Now()
 	spec := t.record.Spec
@@ -60,10 +60,10 @@
 // attributeFailure counts a failure against its worker or, when the job failed
 // on several workers, against the job.
 func (s *Scheduler) attributeFailure(t *trackedRun, suspects []string, now time.Time) {
-	fleet := len(s.o.Membership.View().Workers(s.o.FailureDomain))
+	totalWorkers := len(s.o.Membership.View().Workers(s.o.FailureDomain))
 	spec := t.record.Spec
 	for _, worker := range suspects {
-		if fatal, reason := s.quarantine.RecordFailure(worker, spec.ID, spec.Template, fleet, now); fatal {
+		if fatal, reason := s.quarantine.RecordFailure(worker, spec.ID, spec.Template, totalWorkers, now); fatal {
 			t.fatalReason = reason
 			s.quarantine.ForgetJob(spec.ID)
 			return
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -29,7 +29,7 @@
 	act       func() (dead bool)
 
 	mu       sync.Mutex
-	seen     int
+	calls    int
 	dead     bool
 	answered atomic.Int32 // calls to path that have returned
 }
@@ -37,9 +37,9 @@
 func (in *interceptor) Call(ctx context.Context, address, path string, args, reply any) error {
 	in.mu.Lock()
 	if path == in.path {
-		in.seen++
+		in.calls++
 	}
-	if path == in.path && in.seen == in.actAtCall && !in.dead {
+	if path == in.path && in.calls == in.actAtCall && !in.dead {
 		in.dead = in.act()
 	}
 	dead := in.dead
@@ -60,11 +60,11 @@
 	dead *atomic.Bool
 }
 
-func (m stoppableStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
-	if m.dead.Load() {
+func (s stoppableStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (kvstore.Entry, error) {
+	if s.dead.Load() {
 		return kvstore.Entry{}, kvstore.ErrUnavailable
 	}
-	return m.Store.CompareAndSwap(ctx, key, value, version)
+	return s.Store.CompareAndSwap(ctx, key, value, version)
 }
 
 // failOnTwoGenerations fails the test if two generations of the job ever run at the
@@ -94,10 +94,10 @@
 func TestNewSchedulerRestartsGangAfterKill(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name    string
-		path    string
-		nth     int
-		reclaim bool
+		name       string
+		path       string
+		killAtCall int
+		reclaim    bool
 	}{
 		{"between two reservations", workerapi.PathReserve, 2, false},
 		{"between reserve and start", workerapi.PathStart, 1, false},
@@ -118,7 +118,7 @@
 			store := c.client
 			c.client = stoppableStore{store, &dead}
 			one := c.startEntryHost(1, func(o *gang.Options) {
-				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, actAtCall: tc.nth, act: func() bool {
+				o.Workers = &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: tc.path, actAtCall: tc.killAtCall, act: func() bool {
 					dead.Store(true)
 					close(killed)
 					return true
@@ -230,20 +230,20 @@
 	c := newCluster(t, 2, nil)
 	s := spec("a", 2)
 	c.failOnTwoGenerations(s)
-	frozen, thaw := make(chan struct{}), make(chan struct{})
-	paused := &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, actAtCall: 1, act: func() bool {
-		close(frozen)
-		<-thaw
+	paused, resume := make(chan struct{}), make(chan struct{})
+	caller := &interceptor{WorkerCaller: gang.NewHTTPWorkerCaller(), path: workerapi.PathStart, actAtCall: 1, act: func() bool {
+		close(paused)
+		<-resume
 		return false
 	}}
-	one := c.startEntryHost(1, func(o *gang.Options) { o.Workers = paused })
+	one := c.startEntryHost(1, func(o *gang.Options) { o.Workers = caller })
 	c.submit(one, s)
-	<-frozen
+	<-paused
 	two := c.startEntryHost(2, nil)
 	rec := c.waitForState(two, s, job.Running)
 	must.EqOp(t, 2, rec.Generation)
-	close(thaw)
-	waitUntil(t, "the old scheduler's start requests arrive", func() bool { return paused.answered.Load() == 2 })
+	close(resume)
+	waitUntil(t, "the old scheduler's start requests arrive", func() bool { return caller.answered.Load() == 2 })
 	one.stop()
 	must.Eq(t, map[uint64]int{2: 2}, c.runningTasks(s))
 }
@@ -277,7 +277,8 @@
 	c.waitForState(e, runs, job.Running)
 	c.submit(e, waits)
 
-	// Configuration without the service's document retires nothing.
+	// A read of the configuration that lacks the service's document, or every
+	// document, retires nothing.
 	c.config.edit(func(s *config.Snapshot) { s.Services = map[string]config.Service{} })
 	time.Sleep(3 * time.Second) // several cycles
 	must.Eq(t, map[uint64]int{1: 1}, c.runningTasks(runs))
@@ -336,7 +337,7 @@
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		s := spec(name, 1)
 		c.submit(e, s)
-		waitUntil(t, "the job runs on a working worker", func() bool {
+		waitUntil(t, "the job runs on a worker that does not fail", func() bool {
 			rec, err := e.intake.Find(context.Background(), org, s.ID)
 			return err == nil && rec.State == job.Running && rec.Workers[0] != "w0"
 		})
--- a/gang/messages.go
+++ b/gang/messages.go
@@ -20,15 +20,16 @@
 	Superseded bool
 }
 
-// Reserved is a worker's answer to a Reserve; Code is empty when none came.
+// Reserved is a worker's reply to a Reserve; Code is empty when none came.
 type Reserved struct {
 	Worker string
 	Code   workerapi.Code
 	Reason string
 }
 
-// Started is a worker's answer to a Start. Sent is false when the request was
-// never sent, because its permit was refused. Code is empty when none came.
+// Started is a worker's reply to a Start. Sent is false when the request was
+// never sent, because its permit was refused. Code is empty when no reply
+// came.
 type Started struct {
 	Worker string
 	Sent   bool
@@ -65,7 +66,7 @@
 	OK     bool
 }
 
-// Stopped is a worker's answer to a Stop; OK means that none of the gang's tasks
+// Stopped is a worker's reply to a Stop; OK means that none of the gang's tasks
 // runs there and none can start any more.
 type Stopped struct {
 	Worker string
--- a/gang/move_test.go
+++ b/gang/move_test.go
@@ -27,12 +27,14 @@
 			h.FailureDomain = "fd2"
 		}
 	}
-	both := func(out bool) func(*config.Snapshot) {
+	// fd1Out returns an edit that takes fd1 (true) or fd2 (false) out of service and
+	// brings the other one in.
+	fd1Out := func(out bool) func(*config.Snapshot) {
 		return func(s *config.Snapshot) {
 			s.FailureDomains = map[string]config.FailureDomain{"fd1": {Name: "fd1", Out: out}, "fd2": {Name: "fd2", Out: !out}}
 		}
 	}
-	c.config.edit(both(false))
+	c.config.edit(fd1Out(false))
 	one := c.startEntryHost(1, nil)
 	c.startSecondEntryHost()
 	s := spec("a", 2)
@@ -41,7 +43,7 @@
 	c.submit(one, s)
 	c.waitForState(one, s, job.Running)
 
-	c.config.edit(both(true))
+	c.config.edit(fd1Out(true))
 	waitUntil(t, "the gang runs in the other failure domain", func() bool {
 		rec, err := one.intake.Find(context.Background(), org, s.ID)
 		return err == nil && rec.State == job.Running && rec.Moves == 1
--- a/gang/outage_test.go
+++ b/gang/outage_test.go
@@ -103,7 +103,7 @@
 func (f *fixedView) View() *membership.View { return &f.view }
 
 // TestHostStartedDuringOutageRenewsOnlyWholeGangs starts an entry host that never
-// read the ledger. It must renew the gangs that the workers list, but none of
+// read the ledger. It must renew the gangs that the workers list, except those of
 // which only some tasks run.
 func TestHostStartedDuringOutageRenewsOnlyWholeGangs(t *testing.T) {
 	t.Parallel()
--- a/gang/peers.go
+++ b/gang/peers.go
@@ -30,19 +30,19 @@
 }
 
 // fenceGang makes every entry host of the failure domain stop renewing the gang,
-// and reports whether all confirmed it. Unresponsive hosts count as well, since
-// a host that does not answer may still renew.
+// and reports whether all confirmed it. Hosts that do not answer must confirm it
+// too, since they may still renew.
 func (r *renewer) fenceGang(ctx context.Context, g workerapi.Gang) bool {
 	r.stopRenewing(g)
 	view := r.o.Membership.View()
-	all := true
+	allConfirmed := true
 	for _, h := range view.Hosts {
 		if h.Kind != kvstore.EntryHost || h.FailureDomain != r.o.FailureDomain || h.Name == view.Self.Name {
 			continue
 		}
-		all = all && r.callRelease(ctx, h.PeerAddress, g)
+		allConfirmed = allConfirmed && r.callRelease(ctx, h.PeerAddress, g)
 	}
-	return all
+	return allConfirmed
 }
 
 func (r *renewer) callRelease(ctx context.Context, peerAddress string, g workerapi.Gang) bool {
--- a/gang/records.go
+++ b/gang/records.go
@@ -27,9 +27,9 @@
 	defer cancel()
 	rec := c.record
 	now := c.s.o.Now()
-	limit := maxFailures(c.s.o.Config, rec.Spec)
+	failureLimit := maxFailures(c.s.o.Config, rec.Spec)
 	_, err := c.s.o.Ledger.Update(ctx, c.gang.Job, func(old job.Record, found bool) (job.Record, bool, error) {
-		next, err := transition(old, found, rec, a, limit, now)
+		next, err := transition(old, found, rec, a, failureLimit, now)
 		return next, found, err
 	})
 	return Recorded{State: a.State, OK: err == nil, Superseded: errors.Is(err, errSuperseded)}
@@ -45,10 +45,12 @@
 	return defaultMaxFailures
 }
 
-// transition returns the record after a run's change of state. It is idempotent,
-// since a write whose answer was lost is repeated: when old already has the
-// state, it returns old.
-func transition(old job.Record, found bool, rec job.Record, a RecordState, limit int, now time.Time) (job.Record, error) {
+// transition returns the record after a run's change of state. old is the ledger's
+// record, rec the run's; a job that has failed failureLimit times ends instead of
+// being queued again. transition is idempotent, since a write whose reply was lost
+// is repeated: it returns old when old already has the state, or when the job was
+// to be queued and old has ended.
+func transition(old job.Record, found bool, rec job.Record, a RecordState, failureLimit int, now time.Time) (job.Record, error) {
 	if !found {
 		return old, errSuperseded
 	}
@@ -75,7 +77,7 @@
 	case a.State == job.Stopping:
 		next.SetState(job.Stopping, a.Reason, now)
 	case a.State == job.Queued:
-		requeueRecord(&next, a, limit, now)
+		requeueRecord(&next, a, failureLimit, now)
 	default:
 		next.SetState(a.State, a.Reason, now)
 	}
@@ -99,7 +101,7 @@
 
 // requeueRecord puts a job back in the queue. It ends the job instead when it was
 // cancelled, failed for good or failed too often.
-func requeueRecord(next *job.Record, a RecordState, limit int, now time.Time) {
+func requeueRecord(next *job.Record, a RecordState, failureLimit int, now time.Time) {
 	if a.Failed {
 		next.Failures++
 		next.Avoid = append(append([]string(nil), next.Avoid...), a.SuspectWorkers...)
@@ -114,7 +116,7 @@
 		next.SetState(job.Cancelled, "cancelled by "+next.CancelBy, now)
 	case a.FatalReason != "":
 		next.SetState(job.Failed, a.FatalReason, now)
-	case a.Failed && next.Failures >= limit:
+	case a.Failed && next.Failures >= failureLimit:
 		next.SetState(job.Failed, "it failed too often; last: "+a.Reason, now)
 	default:
 		next.SetState(job.Queued, a.Reason, now)
--- a/gang/renewals.go
+++ b/gang/renewals.go
@@ -36,7 +36,7 @@
 
 // memberLease is the renewal state of a gang's tasks on one worker.
 type memberLease struct {
-	confirmedAt time.Time // time of the last renewal or probe that the worker confirmed
+	confirmedAt time.Time // time of the last renewal or probe that the worker confirmed; at first, of the assignment
 	confirmed   bool      // the worker confirmed the last renewal or probe
 	finished    bool      // all its tasks finished; nothing to renew
 }
@@ -121,9 +121,9 @@
 	return set.batches(), unreachable
 }
 
-// PlanSecondPass returns the round's second batch of requests, after the answers
-// to the first: it renews gangs whose probes were all confirmed, and probes
-// members that did not answer once more.
+// PlanSecondPass returns the requests of the round's second pass, after the replies
+// to the first: it renews gangs whose probes were all confirmed, and probes once
+// more the members that confirmed nothing.
 func (r *RenewalPlanner) PlanSecondPass() []RenewalBatch {
 	set := newBatchSet()
 	for _, g := range r.sortedGangs() {
--- a/gang/renewer.go
+++ b/gang/renewer.go
@@ -52,7 +52,7 @@
 }
 
 // renewRound runs one round: a first pass of renewals and probes to the workers
-// of the assigned gangs, and a second pass that depends on their answers.
+// of the assigned gangs, and a second pass that depends on their replies.
 func (r *renewer) renewRound(ctx context.Context) {
 	assigned := r.assignedGangs(ctx)
 	r.roundMu.RLock()
--- a/gang/retry.go
+++ b/gang/retry.go
@@ -17,9 +17,10 @@
 // cost a ledger write each cycle.
 type startRetry struct {
 	delay time.Duration
-	at    time.Time
+	at    time.Time // earliest time of the next start
 }
 
+// delayStart doubles the job's backoff, between minRetryDelay and maxRetryDelay.
 func (s *Scheduler) delayStart(key string, now time.Time) {
 	delay := min(max(2*s.retries[key].delay, minRetryDelay), maxRetryDelay)
 	s.retries[key] = startRetry{delay: delay, at: now.Add(delay)}
--- a/gang/run.go
+++ b/gang/run.go
@@ -7,8 +7,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// Durations in the life cycle of a gang. After its failure domain was taken out of
-// service, a task can start for at most MaxConfigAge + ReservationTTL: an older
+// Durations in the life cycle of a gang. A task starts at most MaxConfigAge +
+// ReservationTTL after its failure domain was taken out of service: an older
 // configuration permits no start, and a start request that arrives later finds
 // its reservation expired.
 const (
@@ -87,7 +87,7 @@
 	phaseStart      time.Time   // start of the phase
 	nextRetry       time.Time   // of unanswered actions
 	stopRequest     StopRequest // why the run ends and the state it leaves the job in
-	failed          bool
+	taskFailed      bool
 	suspectWorkers  []string
 	requestedState  job.State // state last written to the ledger, confirmed or not
 	startChecked    bool      // the listing after startCheckDelay was sent
@@ -139,7 +139,7 @@
 func (r *Run) recordState(state job.State, reason string) RecordState {
 	r.requestedState = state
 	checkpointed := r.allMembers(func(m *member) bool { return m.checkpointed })
-	return RecordState{State: state, Reason: reason, Failed: r.failed, SuspectWorkers: r.suspectWorkers, Checkpointed: checkpointed}
+	return RecordState{State: state, Reason: reason, Failed: r.taskFailed, SuspectWorkers: r.suspectWorkers, Checkpointed: checkpointed}
 }
 
 func (r *Run) enterPhase(p Phase, now time.Time) {
@@ -176,13 +176,13 @@
 	case Started:
 		return r.onStarted(now, e)
 	case TasksListed:
-		return r.onListed(now, e)
+		return r.onTasksListed(now, e)
 	case StopRequest:
 		return r.onStopRequest(now, e)
 	case Checkpointed:
 		return r.onCheckpointed(now, e)
 	case WorkerLost:
-		return r.onLost(now, e)
+		return r.onWorkerLost(now, e)
 	case Stopped:
 		return r.onStopped(now, e)
 	case Fenced:
--- a/gang/run_start.go
+++ b/gang/run_start.go
@@ -76,37 +76,36 @@
 	return r.enterRunning(now)
 }
 
-// enterRunning enters phase Running once every member runs, and writes that to the
-// ledger.
+// enterRunning enters phase Running and writes that state to the ledger.
 func (r *Run) enterRunning(now time.Time) []Action {
 	r.enterPhase(Running, now)
 	r.nextRetry = now.Add(recordRetryInterval)
 	return []Action{r.recordState(job.Running, "")}
 }
 
-// onListed compares a worker's tasks with those that it was given.
-func (r *Run) onListed(now time.Time, e TasksListed) []Action {
+// onTasksListed compares a worker's tasks with those that the run placed on it.
+func (r *Run) onTasksListed(now time.Time, e TasksListed) []Action {
 	m := r.member(e.Worker)
 	if m == nil || !e.Answered || (r.Phase != Running && r.Phase != Adopting) {
 		return nil
 	}
 	m.listed = true
-	running, done := 0, 0
+	running, finished := 0, 0
 	for _, t := range e.Tasks {
 		switch {
 		case t.Gang != r.Gang:
 		case t.State == workerapi.TaskRunning:
 			running++
 		case t.State == workerapi.TaskFinished:
-			done++
+			finished++
 		case t.State == workerapi.TaskFailed:
 			return r.onTaskFailed(now, m, t)
 		}
 	}
 	switch {
-	case done == len(m.tasks):
+	case finished == len(m.tasks):
 		m.status = memberFinished
-	case running+done == len(m.tasks):
+	case running+finished == len(m.tasks):
 		m.status = memberRunning
 	default:
 		m.status = memberMayRun
@@ -115,7 +114,7 @@
 	return r.checkMembers(now)
 }
 
-func (r *Run) onLost(now time.Time, e WorkerLost) []Action {
+func (r *Run) onWorkerLost(now time.Time, e WorkerLost) []Action {
 	m := r.member(e.Worker)
 	if m == nil || m.status == memberFinished || r.Phase != Running {
 		return nil
@@ -124,7 +123,7 @@
 }
 
 func (r *Run) onTaskFailed(now time.Time, m *member, t workerapi.Task) []Action {
-	r.failed = true
+	r.taskFailed = true
 	r.suspectWorkers = append(r.suspectWorkers, m.worker)
 	return r.failRun(now, fmt.Sprintf("task %d failed on worker %s: %s", t.Index, m.worker, t.Reason))
 }
--- a/gang/scheduler.go
+++ b/gang/scheduler.go
@@ -2,8 +2,8 @@
 // entry host that holds a failure domain's scheduler term reserves, starts,
 // checkpoints and stops the gangs there. Every entry host renews the leases of
 // the gangs assigned to it, which needs no term. The state of runs is held in
-// memory and rebuilt from the ledger and the workers when the term changes
-// hands. Package entryhost creates and runs the Scheduler; intake asks it for
+// memory; a host that takes over the term rebuilds it from the ledger and the
+// workers. Package entryhost creates and runs the Scheduler; intake asks it for
 // wait reasons and startable jobs.
 package gang
 
@@ -160,8 +160,8 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case d := <-s.events:
-			s.deliver(ctx, d)
+		case ev := <-s.events:
+			s.deliver(ctx, ev)
 		case <-ledgerChanged:
 		case <-configChanged:
 		case <-s.cycleRequests:
@@ -189,8 +189,8 @@
 	defer timer.Stop()
 	for {
 		select {
-		case d := <-s.events:
-			s.deliver(ctx, d)
+		case ev := <-s.events:
+			s.deliver(ctx, ev)
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -199,12 +199,14 @@
 	}
 }
 
-func (s *Scheduler) deliver(ctx context.Context, d runEvent) {
-	t := s.runs[d.gang.Job]
-	if t == nil || t.run.Gang != d.gang || d.term != s.term {
+// deliver passes an event to its run. It drops the event when the run has ended or
+// belongs to another term.
+func (s *Scheduler) deliver(ctx context.Context, ev runEvent) {
+	t := s.runs[ev.gang.Job]
+	if t == nil || t.run.Gang != ev.gang || ev.term != s.term {
 		return
 	}
-	s.stepRun(ctx, t, d.event)
+	s.stepRun(ctx, t, ev.event)
 }
 
 // stepRun passes an event to a run and executes the actions it returns.
--- a/gang/scheduler_test.go
+++ b/gang/scheduler_test.go
@@ -74,6 +74,7 @@
 	f.term = term
 }
 
+// fakeView is a membership.Source with a view that the test sets.
 type fakeView struct{ view membership.View }
 
 func (f *fakeView) View() *membership.View { return &f.view }
@@ -125,8 +126,8 @@
 	return c
 }
 
-// entry is an entry host's ledgers, intake and gang scheduler.
-type entry struct {
+// entryHost is an entry host's ledgers, intake and gang scheduler.
+type entryHost struct {
 	ledgers *ledger.Ledgers
 	intake  *intake.Intake
 	gang    *gang.Scheduler
@@ -135,8 +136,8 @@
 }
 
 // startEntryHost starts an entry host that holds the given term; 0: none.
-func (c *cluster) startEntryHost(term uint64, change func(*gang.Options)) *entry {
-	e := &entry{term: &fakeTerm{term: term}}
+func (c *cluster) startEntryHost(term uint64, change func(*gang.Options)) *entryHost {
+	e := &entryHost{term: &fakeTerm{term: term}}
 	e.ledgers = ledger.New(ledger.Options{Store: c.client, WriteInterval: 5 * time.Millisecond})
 	e.intake = intake.New(intake.Options{FailureDomain: "fd1", Ledgers: e.ledgers, Config: c.config, Membership: c.view, Election: e.term})
 	o := gang.Options{FailureDomain: "fd1", Ledger: e.ledgers.Jobs("fd1"), Config: c.config, Membership: c.view, Election: e.term}
@@ -160,13 +161,13 @@
 		Shape: job.Shape{Tasks: tasks, AcceleratorsPerTask: 8, Adjacency: job.SameRack}}
 }
 
-func (c *cluster) submit(e *entry, s job.Spec) {
+func (c *cluster) submit(e *entryHost, s job.Spec) {
 	_, err := e.intake.Submit(context.Background(), org, s)
 	must.NoError(c.t, err)
 }
 
 // waitForState waits until the job is in the state and returns its record.
-func (c *cluster) waitForState(e *entry, s job.Spec, state job.State) job.Record {
+func (c *cluster) waitForState(e *entryHost, s job.Spec, state job.State) job.Record {
 	c.t.Helper()
 	var rec job.Record
 	must.Wait(c.t, wait.InitialSuccess(wait.Timeout(45*time.Second), wait.Gap(20*time.Millisecond), wait.BoolFunc(func() bool {
--- a/gang/simulation_test.go
+++ b/gang/simulation_test.go
@@ -21,7 +21,7 @@
 	termDuration     = 10 * time.Second
 	maxMessageDelay  = 3 * time.Second
 	maxStartAfterOut = 3 * time.Second
-	faultKinds       = 8
+	faultKinds       = 8 // cases of toggleFault
 	simSeeds         = 150
 	// maxPartialDuration limits how long only some tasks of a gang may run: a lease,
 	// one renewal interval and messages in flight.
@@ -71,7 +71,7 @@
 }
 
 // simulation drives runs, renewals and worker stand-ins by random events in virtual
-// time. Messages take up to maxMessageDelay; a message or its answer may be lost.
+// time. Messages take up to maxMessageDelay; a message or its reply may be lost.
 type simulation struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -178,8 +178,8 @@
 	}
 }
 
-// sendMessage delivers a call to a worker and the answer to done. When either is
-// lost, done gets failed after the call's timeout.
+// sendMessage delivers a call of host i to worker k and the reply to done. When
+// either is lost, done gets the event failed after the call's timeout.
 func (sim *simulation) sendMessage(i, k int, call func(*worker.Server) Event, failed Event, done func(Event)) {
 	h := sim.hosts[i]
 	answered := false
@@ -290,7 +290,7 @@
 	}
 }
 
-// writeState writes a run's state to the ledger. The answer may be lost after the
+// writeState writes a run's state to the ledger. The reply may be lost after the
 // write took effect.
 func (sim *simulation) writeState(h *simHost, g workerapi.Gang, term uint64, a RecordState) Recorded {
 	if sim.platformDown || h.platformCut {
@@ -385,8 +385,8 @@
 			}
 		}
 		h.planner.SetAssigned(sim.now, assigned)
-		batches, lost := h.planner.PlanRound(sim.now)
-		sim.applyObservations(i, lost)
+		batches, unreachable := h.planner.PlanRound(sim.now)
+		sim.applyObservations(i, unreachable)
 		sim.sendBatches(i, batches)
 		sim.sendBatches(i, h.planner.PlanSecondPass())
 	})
@@ -409,11 +409,11 @@
 	}
 }
 
-// applyObservations passes the observations of host by to the runs of all hosts that
-// it can reach.
-func (sim *simulation) applyObservations(by int, observations []Observation) {
+// applyObservations passes the observations of the host observer to the runs of all
+// hosts that it can reach.
+func (sim *simulation) applyObservations(observer int, observations []Observation) {
 	for i, h := range sim.hosts {
-		if sim.hostsPartitioned && i != by {
+		if sim.hostsPartitioned && i != observer {
 			continue
 		}
 		for _, o := range observations {
--- a/gang/startable.go
+++ b/gang/startable.go
@@ -41,9 +41,9 @@
 		return
 	}
 	snap, _ := s.o.Config.Current()
-	offered := make([]placement.WaitingJob, 0, len(q.records))
+	waiting := make([]placement.WaitingJob, 0, len(q.records))
 	for _, rec := range q.records {
-		offered = append(offered, placementWaiting(rec))
+		waiting = append(waiting, placementWaitingJob(rec))
 	}
-	q.reply <- placement.PullableJobs(s.placementView(now, own, snap), offered)
+	q.reply <- placement.PullableJobs(s.placementView(now, own, snap), waiting)
 }
--- a/gang/startable_test.go
+++ b/gang/startable_test.go
@@ -18,7 +18,7 @@
 	c := newCluster(t, 2, nil)
 	e := c.startEntryHost(1, nil)
 	one, two := job.Record{Spec: spec("one", 1)}, job.Record{Spec: spec("two", 1)}
-	takes := func() []job.ID {
+	startable := func() []job.ID {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		return e.gang.StartableJobs(ctx, []job.Record{one, two})
@@ -26,7 +26,7 @@
 	own := spec("own", 1)
 	c.submit(e, own)
 	c.waitForState(e, own, job.Running)
-	must.Eq(t, []job.ID{one.Spec.ID}, takes())
+	must.Eq(t, []job.ID{one.Spec.ID}, startable())
 	e.term.set(0)
-	must.SliceEmpty(t, takes())
+	must.SliceEmpty(t, startable())
 }
--- a/gang/summary.go
+++ b/gang/summary.go
@@ -17,7 +17,7 @@
 // SummaryArgs are the arguments of the peer method Summary.
 type SummaryArgs struct{}
 
-// Summary summarises the failure domain by this host's last read of the ledger.
+// Summary summarises the failure domain as of this host's last read of the ledger.
 func (s *Scheduler) Summary() Summary {
 	sum := Summary{Deficits: s.Deficits()}
 	records, _, _ := s.o.Ledger.Snapshot()
--- a/gang/view.go
+++ b/gang/view.go
@@ -25,18 +25,18 @@
 	for _, key := range sortedKeys(records) {
 		rec := records[key]
 		if s.isStartable(now, key, rec) && !serviceRetired(snap, rec) {
-			v.Waiting = append(v.Waiting, placementWaiting(rec))
+			v.Waiting = append(v.Waiting, placementWaitingJob(rec))
 		}
 	}
 	return v
 }
 
 func serviceRetired(snap *config.Snapshot, rec job.Record) bool {
-	_, gone := snap.Retired[rec.Spec.ID.Service]
-	return gone
+	_, retired := snap.Retired[rec.Spec.ID.Service]
+	return retired
 }
 
-// placementGang describes the run, which occupies its accelerators.
+// placementGang returns the run as a gang that occupies its accelerators.
 func (t *trackedRun) placementGang() placement.Gang {
 	rec := t.record
 	return placement.Gang{
@@ -56,7 +56,7 @@
 	}
 }
 
-func placementWaiting(rec job.Record) placement.WaitingJob {
+func placementWaitingJob(rec job.Record) placement.WaitingJob {
 	return placement.WaitingJob{
 		ID:          rec.Spec.ID,
 		Team:        rec.Team,
--- a/workerapi/workerapi.go
+++ b/workerapi/workerapi.go
@@ -30,11 +30,11 @@
 // Result codes.
 const (
 	OK            Code = "ok"
-	StaleTerm     Code = "stale-term"
-	NoCapacity    Code = "no-capacity"
-	NoReservation Code = "no-reservation"
-	UnknownGang   Code = "unknown-gang"
-	Refused       Code = "refused"
+	StaleTerm     Code = "stale-term"     // the worker has seen a newer term
+	NoCapacity    Code = "no-capacity"    // too few free accelerators
+	NoReservation Code = "no-reservation" // none was made, or it has expired
+	UnknownGang   Code = "unknown-gang"   // the worker has no tasks of the gang
+	Refused       Code = "refused"        // the reservation was refused for another reason
 )
 
 // ReserveRequest reserves accelerators for tasks of a gang until TTL has passed.
@@ -69,7 +69,7 @@
 	Term   uint64        `json:"term"`
 	Gang   Gang          `json:"gang"`
 	Grace  time.Duration `json:"graceNanos,omitempty"` // longest time for a checkpoint before a stop
-	Reason string        `json:"reason,omitempty"`
+	Reason string        `json:"reason,omitempty"`     // why the gang is stopped
 }
 
 // Reply is a worker's reply that carries no data besides the result code.
