--- a/batch/conditions/conditions.go
+++ b/batch/conditions/conditions.go
@@ -78,8 +78,8 @@
 	return c.evacuated
 }
 
-// FollowOperator follows the operators' documents until ctx ends.
-func (c *Conditions) FollowOperator(ctx context.Context) {
+// FollowDocuments follows the operators' documents until ctx ends.
+func (c *Conditions) FollowDocuments(ctx context.Context) {
 	f := kvstore.Follower{
 		Store:  c.store,
 		Prefix: c.format.OperatorPrefix,
--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -27,7 +27,7 @@
 )
 
 // FollowRunners implements dispatch.Conditions.
-func (c *Conditions) FollowRunners(ctx context.Context, to dispatch.RunnerEvents) {
+func (c *Conditions) FollowRunners(ctx context.Context, to dispatch.RunnerEventHandler) {
 	l := newRunnerList(ctx, c.format, c.heartbeat, c.log, to)
 	f := kvstore.Follower{
 		Store:  c.store,
@@ -45,14 +45,14 @@
 	f.Run(ctx)
 }
 
-// runnerList turns changes of the runners' entries into RunnerEvents, without the
-// heartbeats that change nothing else. Only the follower's goroutine uses it, except
-// for runners.
+// runnerList turns changes of the runners' entries into calls of a
+// RunnerEventHandler, without the heartbeats that change nothing else. Only the
+// follower's goroutine uses it, except for runners.
 type runnerList struct {
 	ctx    context.Context
 	format Format
 	log    *log.Logger
-	to     dispatch.RunnerEvents
+	to     dispatch.RunnerEventHandler
 
 	leftWithin time.Duration // leftWithinHeartbeats as a duration
 
@@ -64,7 +64,7 @@
 	runners       map[string]batch.Runner // listed runners by ID
 }
 
-func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, to dispatch.RunnerEvents) *runnerList {
+func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, to dispatch.RunnerEventHandler) *runnerList {
 	return &runnerList{
 		ctx: ctx, format: format, log: logger, to: to, leftWithin: time.Duration(leftWithinHeartbeats * float64(heartbeat)),
 		lastHeartbeat: make(map[string]steady.Time), runners: make(map[string]batch.Runner),
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -43,11 +43,11 @@
 	Configuration() *batch.Configuration // nil: none yet
 	Evacuated() map[string]bool
 	// FollowRunners reports changes of the runners until ctx ends.
-	FollowRunners(ctx context.Context, to RunnerEvents)
+	FollowRunners(ctx context.Context, to RunnerEventHandler)
 }
 
-// RunnerEvents receives changes of the runners. It is safe for concurrent use.
-type RunnerEvents interface {
+// RunnerEventHandler receives changes of the runners. It is safe for concurrent use.
+type RunnerEventHandler interface {
 	Listed(r batch.Runner) // the runner is new or its entry has changed
 	Unlisted(id string)    // it sends no heartbeats or its entry is invalid; it may still run tasks
 	Left(id string)        // it has ended, and so have all its tasks
@@ -64,10 +64,10 @@
 	Metrics       *metrics.Set     // nil: no metrics
 	Now           func() time.Time // returns the time of day; it never jumps
 
-	RunnerLease  time.Duration // lease of a runner, which all its tasks share
-	Cores        float64       // processor cores that this host may use
-	Early        time.Duration // how early an occurrence may start
-	RemoteFactor float64       // slow-down of tasks away from their gang's rack or their data
+	RunnerLease   time.Duration // lease of a runner, which all its tasks share
+	Cores         float64       // processor cores that this host may use
+	MaxEarlyStart time.Duration // how early an occurrence may start
+	RemoteFactor  float64       // slow-down of tasks away from their gang's rack or their data
 }
 
 // Leader schedules during one term. It owns the scheduler's core and one
@@ -157,7 +157,7 @@
 	replica.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
-		MaxEarlyStart:     l.Early,
+		MaxEarlyStart:     l.MaxEarlyStart,
 		RemoteFactor:      l.RemoteFactor,
 		InheritedLeaseEnd: now.Add(maxLeaseDuration(l.RunnerLease)),
 		LearnedSpeeds:     found.speeds,
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -68,13 +68,13 @@
 	return min(max(wait, minHoldWait), maxHoldWait)
 }
 
-// runnerEvents implements RunnerEvents for a leader during one term.
+// runnerEvents implements RunnerEventHandler for a leader during one term.
 type runnerEvents struct {
 	ctx context.Context
 	*Leader
 }
 
-// Listed implements RunnerEvents.
+// Listed implements RunnerEventHandler.
 func (l runnerEvents) Listed(r batch.Runner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,7 @@
 	signal(l.decisionDue)
 }
 
-// Unlisted implements RunnerEvents.
+// Unlisted implements RunnerEventHandler.
 func (l runnerEvents) Unlisted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 	signal(l.decisionDue)
 }
 
-// Left implements RunnerEvents.
+// Left implements RunnerEventHandler.
 func (l runnerEvents) Left(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -64,8 +64,8 @@
 // Conditions provides the operator's configuration and the runners' entries.
 type Conditions interface {
 	dispatch.Conditions
-	// FollowOperator watches the operator's documents until ctx ends.
-	FollowOperator(ctx context.Context)
+	// FollowDocuments watches the operator's documents until ctx ends.
+	FollowDocuments(ctx context.Context)
 }
 
 // Options configures a Host.
@@ -129,7 +129,7 @@
 	defer metricsServer.Close()
 	h.Log.Info("started")
 	var background sync.WaitGroup
-	background.Go(func() { h.Conditions.FollowOperator(serveCtx) })
+	background.Go(func() { h.Conditions.FollowDocuments(serveCtx) })
 	background.Go(func() { h.followReplica(serveCtx) })
 	background.Go(func() { h.maintainRegistration(serveCtx) })
 	electionCtx, resign := context.WithCancel(serveCtx)
--- a/cmd/cyclamentray-batchd/main.go
+++ b/cmd/cyclamentray-batchd/main.go
@@ -146,7 +146,7 @@
 				Now:           now,
 				RunnerLease:   bounds.RunnerLease,
 				Cores:         s.Cores,
-				Early:         bounds.Early / 2, // the rest covers the clocks' differences
+				MaxEarlyStart: bounds.Early / 2, // the rest covers the clocks' differences
 				RemoteFactor:  bounds.RemoteX,
 			}
 		},
