--- a/batch/account/account.go
+++ b/batch/account/account.go
@@ -117,6 +117,8 @@
 // namesNoJob reports, without decoding it, whether a line has no field job.
 func namesNoJob(text []byte) bool { return !bytes.Contains(text, []byte(" job=")) }
 
+// parse decodes a log line from its time on. It returns false for a line that is
+// malformed or has no time or no message.
 func parse(text []byte) (Line, bool) {
 	start := bytes.Index(text, []byte("time="))
 	if start < 0 {
--- a/batch/batch.go
+++ b/batch/batch.go
@@ -35,9 +35,9 @@
 // Step is a group of identical tasks of a job.
 type Step struct {
 	Tasks             int           `json:"tasks"`
-	Request           Resources     `json:"request"` // of one task
-	Estimate          time.Duration `json:"estimate,omitempty"`
-	After             []int         `json:"after,omitempty"` // indexes of earlier steps that must be done first
+	Request           Resources     `json:"request"`            // of one task
+	Estimate          time.Duration `json:"estimate,omitempty"` // declared duration of one task
+	After             []int         `json:"after,omitempty"`    // indexes of earlier steps that must be done first
 	Checkpoints       bool          `json:"checkpoints,omitempty"`
 	Gang              bool          `json:"gang,omitempty"`        // all tasks run at the same time or none runs
 	SameRack          bool          `json:"sameRack,omitempty"`    // the step is slower when its tasks are spread over racks
@@ -68,12 +68,12 @@
 // may start immediately.
 type Schedule struct {
 	Occurrences int           `json:"occurrences"`
-	First       time.Time     `json:"first"`
-	Interval    time.Duration `json:"interval"`
+	First       time.Time     `json:"first"`    // from which the first occurrence may start
+	Interval    time.Duration `json:"interval"` // between the due times of two occurrences
 }
 
-// AdviceTimes are the expected times of the adviser, which says which runners may
-// run a step.
+// AdviceTimes holds how long the adviser is expected to take for an answer, and how
+// long its tickets are valid. The adviser decides which runners may run a step.
 type AdviceTimes struct {
 	DecisionTime   time.Duration `json:"decide"` // time to answer one question
 	TimePerRunner  time.Duration `json:"each"`   // added for each runner named in the question
@@ -95,8 +95,8 @@
 	Spec          string        `json:"spec"`
 	Priority      int           `json:"priority"` // 0 is the highest
 	MaxAttempts   int           `json:"maxAttempts"`
-	Stretch       float64       `json:"stretch"` // target completion time as a multiple of the longest chain of work
-	TargetLatency time.Duration `json:"targetLatency"`
+	Stretch       float64       `json:"stretch"`       // target completion time as a multiple of the longest chain of work
+	TargetLatency time.Duration `json:"targetLatency"` // added to the target completion time
 	Steps         []Step        `json:"steps"`
 	Schedule      *Schedule     `json:"schedule,omitempty"`
 	Advice        *AdviceTimes  `json:"advice,omitempty"` // nil: every runner of the service may run its steps
@@ -249,7 +249,7 @@
 	Born           int64 // start time in Unix milliseconds; identifies the incarnation
 }
 
-// EndReason says why a run ended.
+// EndReason says why a run, which is one attempt of a task, ended.
 type EndReason string
 
 // The reasons for which a run ends.
@@ -281,7 +281,7 @@
 	Checkpoint string
 }
 
-// Report is a runner's answer to a hold.
+// Report is a runner's answer to a hold, the call that extends its lease.
 type Report struct {
 	Born    int64
 	Clock   time.Duration // the runner's clock: time since its start
--- a/batch/conditions/conditions.go
+++ b/batch/conditions/conditions.go
@@ -22,8 +22,8 @@
 type Format struct {
 	OperatorPrefix string
 	RunnerPrefix   string
-	// DecodeDocument decodes an operator's entry. An entry that is not used decodes
-	// to the zero Document.
+	// DecodeDocument decodes an entry under OperatorPrefix. An entry that is not used
+	// decodes to the zero Document.
 	DecodeDocument func(kvstore.Item) (Document, error)
 	// EvacuatedDomain returns the failure domain whose evacuation a key requests, or
 	// "".
@@ -34,7 +34,7 @@
 	RunnerID func(key string) string
 }
 
-// Document is a decoded operator's document. At most one field is set.
+// Document is a decoded document of the operators. At most one field is set.
 type Document struct {
 	Configuration   *batch.Configuration
 	EvacuatedDomain string // failure domain to evacuate; empty: none
--- a/batch/conditions/conditions_test.go
+++ b/batch/conditions/conditions_test.go
@@ -48,16 +48,18 @@
 	return kvstore.Item{Key: "runner/" + id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s","Draining":%t,"Beat":%d}`, id, draining, beat)}
 }
 
-// recordedEvents counts the events of each kind.
-type recordedEvents struct {
+// eventCounter counts the events of each kind.
+type eventCounter struct {
 	mu                     sync.Mutex
 	listed, unlisted, left int
 }
 
-func (r *recordedEvents) Listed(batch.Runner) { r.mu.Lock(); r.listed++; r.mu.Unlock() }
-func (r *recordedEvents) Unlisted(string)     { r.mu.Lock(); r.unlisted++; r.mu.Unlock() }
-func (r *recordedEvents) Left(string)         { r.mu.Lock(); r.left++; r.mu.Unlock() }
-func (r *recordedEvents) counts() [3]int {
+func (r *eventCounter) Listed(batch.Runner) { r.mu.Lock(); r.listed++; r.mu.Unlock() }
+func (r *eventCounter) Unlisted(string)     { r.mu.Lock(); r.unlisted++; r.mu.Unlock() }
+func (r *eventCounter) Left(string)         { r.mu.Lock(); r.left++; r.mu.Unlock() }
+
+// counts returns the numbers of listed, unlisted and left events.
+func (r *eventCounter) counts() [3]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return [3]int{r.listed, r.unlisted, r.left}
@@ -71,7 +73,7 @@
 // back within unlistGrace is not reported as unlisted. A runner whose entry can't
 // be decoded is.
 func TestRunnerListForwardsOnlyChanges(t *testing.T) {
-	events := &recordedEvents{}
+	events := &eventCounter{}
 	l := newRunnerList(context.Background(), jsonFormat, 1500*time.Millisecond, discardLogger(), events)
 	l.reset([]kvstore.Item{runnerItem("i-1", false, 1), runnerItem("i-2", false, 1)})
 	must.Eq(t, [3]int{2, 0, 0}, events.counts())
@@ -107,7 +109,7 @@
 		heartbeat    time.Duration
 		reads        []storeRead
 		deletionSeen time.Duration // when the deletion of the entry is read
-		want         [3]int
+		want         [3]int        // events of kind listed, unlisted and left
 	}{
 		"left":                {heartbeat, []storeRead{{sent: 0}, watched(time.Second)}, 3 * time.Second, [3]int{1, 0, 1}},
 		"left, often watched": {heartbeat, []storeRead{{sent: 0}, watched(time.Second), watched(2 * time.Second), {sent: 3 * time.Second}}, 4500 * time.Millisecond, [3]int{1, 0, 1}},
@@ -119,7 +121,7 @@
 		"changes read late":   {heartbeat, []storeRead{{sent: 0}, {sent: 3 * time.Second, truncated: true}, watched(3100 * time.Millisecond)}, 3400 * time.Millisecond, [3]int{1, 0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			events := &recordedEvents{}
+			events := &eventCounter{}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			l := newRunnerList(ctx, jsonFormat, test.heartbeat, discardLogger(), events)
--- a/batch/conditions/runners.go
+++ b/batch/conditions/runners.go
@@ -27,8 +27,8 @@
 )
 
 // FollowRunners implements dispatch.Conditions.
-func (c *Conditions) FollowRunners(ctx context.Context, to dispatch.RunnerEventHandler) {
-	l := newRunnerList(ctx, c.format, c.heartbeat, c.log, to)
+func (c *Conditions) FollowRunners(ctx context.Context, events dispatch.RunnerEventHandler) {
+	l := newRunnerList(ctx, c.format, c.heartbeat, c.log, events)
 	f := kvstore.Follower{
 		Store:  c.store,
 		Prefix: c.format.RunnerPrefix,
@@ -47,14 +47,14 @@
 
 // runnerList turns changes of the runners' entries into calls of a
 // RunnerEventHandler, without the heartbeats that change nothing else. Only the
-// follower's goroutine uses it, except for runners.
+// follower's goroutine uses it; runners is also read by timers.
 type runnerList struct {
 	ctx    context.Context
 	format Format
 	log    *log.Logger
-	to     dispatch.RunnerEventHandler
+	events dispatch.RunnerEventHandler
 
-	leftWithin time.Duration // leftWithinHeartbeats as a duration
+	departureWindow time.Duration // departureWindowHeartbeats as a duration
 
 	readSent      steady.Time             // when the read of the store in progress was sent
 	changesAfter  steady.Time             // the changes in this read happened after this time; 0: unknown
@@ -64,18 +64,18 @@
 	runners       map[string]batch.Runner // listed runners by ID
 }
 
-func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, to dispatch.RunnerEventHandler) *runnerList {
+func newRunnerList(ctx context.Context, format Format, heartbeat time.Duration, logger *log.Logger, events dispatch.RunnerEventHandler) *runnerList {
 	return &runnerList{
-		ctx: ctx, format: format, log: logger, to: to, leftWithin: time.Duration(leftWithinHeartbeats * float64(heartbeat)),
+		ctx: ctx, format: format, log: logger, events: events, departureWindow: time.Duration(departureWindowHeartbeats * float64(heartbeat)),
 		lastHeartbeat: make(map[string]steady.Time), runners: make(map[string]batch.Runner),
 	}
 }
 
-// leftWithinHeartbeats is the time after a heartbeat, in heartbeat intervals, within
-// which the deletion of an entry means that its runner has left on its own. The
-// entry of a silent runner is deleted after three intervals, and entries are deleted
-// for no other reason. The margin between 2.8 and 3 allows for clock differences.
-const leftWithinHeartbeats = 2.8
+// departureWindowHeartbeats is how soon after a heartbeat, in heartbeat intervals, an
+// entry must be deleted for its runner to count as having left on its own. The entry
+// of a silent runner is deleted after three intervals, and entries are deleted for no
+// other reason. The margin between 2.8 and 3 allows for clock differences.
+const departureWindowHeartbeats = 2.8
 
 // readStarted notes that a read of the store is about to be sent.
 func (l *runnerList) readStarted(now steady.Time) { l.readSent = now }
@@ -140,7 +140,7 @@
 	r, err := l.format.DecodeRunner(item)
 	if err != nil {
 		l.log.Warn("runner's entry is invalid", "key", item.Key, "revision", item.Revision, "err", err)
-		l.to.Unlisted(l.format.RunnerID(item.Key))
+		l.events.Unlisted(l.format.RunnerID(item.Key))
 		return false
 	}
 	l.mu.Lock()
@@ -153,7 +153,7 @@
 	}
 	l.log.Info("runner", "runner", r.ID, "failure-domain", r.FailureDomain, "rack", r.Rack, "draining", r.Draining,
 		"drain-remaining", r.DrainRemaining, "born", r.Born, "revision", item.Revision)
-	l.to.Listed(r)
+	l.events.Listed(r)
 	return true
 }
 
@@ -161,7 +161,7 @@
 // soon after a heartbeat, otherwise as unlisted after unlistGrace.
 func (l *runnerList) entryDeleted(id string, now steady.Time) {
 	beat, seen := l.lastHeartbeat[id]
-	if !seen || now.Sub(beat) > l.leftWithin {
+	if !seen || now.Sub(beat) > l.departureWindow {
 		l.unlistAfterGrace(id)
 		return
 	}
@@ -170,7 +170,7 @@
 	l.mu.Unlock()
 	delete(l.lastHeartbeat, id)
 	l.log.Info("runner left", "runner", id, "heartbeat-age", now.Sub(beat).Round(time.Millisecond))
-	l.to.Left(id)
+	l.events.Left(id)
 }
 
 // unlistAfterGrace reports a runner as unlisted unless its entry comes back within
@@ -185,7 +185,7 @@
 		l.mu.Unlock()
 		if !back && l.ctx.Err() == nil {
 			l.log.Info("runner gone", "runner", id)
-			l.to.Unlisted(id)
+			l.events.Unlisted(id)
 		}
 	})
 }
--- a/batch/dispatch/advice.go
+++ b/batch/dispatch/advice.go
@@ -117,10 +117,10 @@
 
 func (l *Leader) askAdviser(ctx context.Context, q scheduler.Question, address string) {
 	limit := q.Advice.DecisionTime + time.Duration(len(q.Runners))*q.Advice.TimePerRunner + adviceGrace
-	call, cancel := context.WithTimeout(ctx, limit)
+	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	asked := steady.Now()
-	approval, err := l.AdviserRoutes.advise(call, q, address)
+	approval, err := l.AdviserRoutes.advise(callCtx, q, address)
 	now := steady.Now()
 	l.Log.Info("advice", "job", q.Job, "occurrence", q.Occurrence, "step", q.Step, "asked", len(q.Runners), "through", address,
 		"approved", len(approval.Tickets), "valid", approval.Valid, "took", now.Sub(asked).Round(time.Millisecond), "err", err)
--- a/batch/dispatch/election.go
+++ b/batch/dispatch/election.go
@@ -28,8 +28,8 @@
 	acquireTimeout = 1500 * time.Millisecond // two calls to a slow store
 
 	// minTermBeforeYield is how long a host leads before it may yield to a much
-	// stronger one. yieldCooldown is how long after that it may not yield again: the
-	// stronger host may still be listed although it is gone.
+	// stronger one. yieldCooldown is how long after a yield it may not yield again:
+	// the stronger host may still be registered although it is gone.
 	minTermBeforeYield = 1500 * time.Millisecond
 	yieldCooldown      = 20 * time.Second
 
@@ -114,8 +114,8 @@
 	return c.AcquireDelay()
 }
 
-func waitForChange(ctx context.Context, changed <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+func waitForChange(ctx context.Context, changed <-chan struct{}, limit time.Duration) {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -170,9 +170,9 @@
 	t.End()
 	renewing.Wait()
 	c.Log.Info("term ended", "token", t.Token)
-	revoke, done := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
-	defer done()
-	if err := c.Store.Revoke(revoke, t.lease); err != nil && !errors.Is(err, kvstore.ErrLeaseLost) {
+	revokeCtx, cancelRevoke := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
+	defer cancelRevoke()
+	if err := c.Store.Revoke(revokeCtx, t.lease); err != nil && !errors.Is(err, kvstore.ErrLeaseLost) {
 		c.Log.Warn("term's lease not revoked; it will expire", "token", t.Token, "err", err)
 	}
 }
@@ -198,8 +198,8 @@
 			t.End()
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, renewTimeout)
-		err := c.Store.Renew(call, t.lease)
+		callCtx, cancel := context.WithTimeout(ctx, renewTimeout)
+		err := c.Store.Renew(callCtx, t.lease)
 		cancel()
 		switch {
 		case err == nil:
--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -43,7 +43,7 @@
 	Configuration() *batch.Configuration // nil: none yet
 	Evacuated() map[string]bool
 	// FollowRunners reports changes of the runners until ctx ends.
-	FollowRunners(ctx context.Context, to RunnerEventHandler)
+	FollowRunners(ctx context.Context, events RunnerEventHandler)
 }
 
 // RunnerEventHandler receives changes of the runners. It is safe for concurrent use.
@@ -108,7 +108,7 @@
 	if !l.load(ctx) {
 		return
 	}
-	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEvents{ctx, l}) })
+	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEventHandler{ctx, l}) })
 	l.background.Go(func() { l.recordLoop(ctx) })
 	l.background.Go(func() { l.speedsLoop(ctx) })
 	if l.AdviserRoutes.Local != nil {
@@ -122,8 +122,8 @@
 // term.
 func (l *Leader) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, loadTimeout)
-		found, err := l.readAll(call)
+		callCtx, cancel := context.WithTimeout(ctx, loadTimeout)
+		found, err := l.readAll(callCtx)
 		cancel()
 		if err == nil {
 			l.buildCore(found)
@@ -261,10 +261,10 @@
 		l.core.Decide(steady.Now(), l.Now())
 	}
 	orders := l.core.TakeOrders()
-	asks := l.core.HasAdvisedJobs()
+	advised := l.core.HasAdvisedJobs()
 	l.mu.Unlock()
 	l.sendOrders(ctx, orders)
-	if asks {
+	if advised {
 		signal(l.adviceDue)
 	}
 	signal(l.recordsDirty)
--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -29,9 +29,9 @@
 	holdRetryDelay    = 100 * time.Millisecond // after a hold without an answer; doubles up to holdRetryDelayMax
 	holdRetryDelayMax = 800 * time.Millisecond // allows several tries within a runner's shortest lease
 
-	// endRecordTimeout is how long the next hold is delayed until the ends in the
-	// last report are recorded, so that it can acknowledge them: time for many
-	// commits.
+	// endRecordTimeout is how long the next hold is delayed at most while the ends in
+	// the last report are being recorded, so that it can acknowledge them: time for
+	// many commits.
 	endRecordTimeout = 250 * time.Millisecond
 
 	// unrecordedHoldPause is the pause between holds while ends can't be recorded: a
@@ -68,14 +68,14 @@
 	return min(max(wait, minHoldWait), maxHoldWait)
 }
 
-// runnerEvents implements RunnerEventHandler for a leader during one term.
-type runnerEvents struct {
+// runnerEventHandler implements RunnerEventHandler for a leader during one term.
+type runnerEventHandler struct {
 	ctx context.Context
 	*Leader
 }
 
 // Listed implements RunnerEventHandler.
-func (l runnerEvents) Listed(r batch.Runner) {
+func (l runnerEventHandler) Listed(r batch.Runner) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerListed(r, steady.Now())
@@ -89,7 +89,7 @@
 }
 
 // Unlisted implements RunnerEventHandler.
-func (l runnerEvents) Unlisted(id string) {
+func (l runnerEventHandler) Unlisted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerUnlisted(id)
@@ -97,7 +97,7 @@
 }
 
 // Left implements RunnerEventHandler.
-func (l runnerEvents) Left(id string) {
+func (l runnerEventHandler) Left(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.RunnerLeft(id, steady.Now())
@@ -115,7 +115,7 @@
 		}
 		if l.sendHold(ctx, to, order) {
 			retry.Reset()
-			wait = l.afterReport(ctx, id, order.Deadline == 0)
+			wait = l.nextHoldWait(ctx, id, order.Deadline == 0)
 			continue
 		}
 		wait = 0
@@ -156,10 +156,10 @@
 // sendHold sends one hold and passes the report to the core. It returns false when
 // the hold wasn't accepted.
 func (l *Leader) sendHold(ctx context.Context, to batch.Runner, o HoldOrder) bool {
-	call, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
+	callCtx, cancel := context.WithTimeout(ctx, o.Wait+holdGrace)
 	defer cancel()
 	asked := steady.Now()
-	report, answer, err := l.Runners.Hold(call, to, o)
+	report, answer, err := l.Runners.Hold(callCtx, to, o)
 	now := steady.Now()
 	l.countHold(answer)
 	if answer == Fenced {
@@ -193,10 +193,10 @@
 	}
 }
 
-// afterReport waits until the ends in the report are recorded. It returns how long
-// the next hold may wait at the runner. clockOnly says that the last hold only read
-// the runner's clock and did not extend its lease.
-func (l *Leader) afterReport(ctx context.Context, id string, clockOnly bool) time.Duration {
+// nextHoldWait waits until the ends in the last report are recorded, and returns how
+// long the next hold may wait at the runner. clockOnly says that the last hold only
+// read the runner's clock and did not extend its lease.
+func (l *Leader) nextHoldWait(ctx context.Context, id string, clockOnly bool) time.Duration {
 	if clockOnly {
 		return 0 // extend the lease at once
 	}
@@ -296,9 +296,9 @@
 	if deadline == 0 {
 		return Unanswered, false, errors.New("no recent report from the runner; its lease can't be extended")
 	}
-	call, cancel := context.WithTimeout(ctx, startTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	answer, err = l.Runners.Start(call, o.Runner, StartOrder{
+	answer, err = l.Runners.Start(callCtx, o.Runner, StartOrder{
 		Task: o.Task, Attempt: o.Attempt, Spec: o.Spec, Checkpoint: o.Checkpoint, Ticket: o.Ticket, Token: l.term.Token, Deadline: deadline,
 	})
 	return answer, !errors.Is(err, ErrNotSent), err
@@ -307,14 +307,14 @@
 // stopRun sends a stop order until it is answered or the runner is no longer needed.
 func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
 	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
-	for ctx.Err() == nil && l.stopDue(o) {
+	for ctx.Err() == nil && l.runnerNeeded(o) {
 		to, known := l.listedRunner(o.Runner.ID)
 		if !known { // run inherited from an earlier term; its runner isn't listed yet
 			pause.For(ctx, stopRetryDelay)
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, stopTimeout)
-		answer, err := l.Runners.Stop(call, to, StopOrder{Task: o.Task, Attempt: o.Attempt, Token: l.term.Token})
+		callCtx, cancel := context.WithTimeout(ctx, stopTimeout)
+		answer, err := l.Runners.Stop(callCtx, to, StopOrder{Task: o.Task, Attempt: o.Attempt, Token: l.term.Token})
 		cancel()
 		switch answer {
 		case Unanswered, Unhealthy:
@@ -341,7 +341,8 @@
 	return k.runner, true
 }
 
-func (l *Leader) stopDue(o scheduler.Order) bool {
+// runnerNeeded reports whether the order's runner is listed or may still run a task.
+func (l *Leader) runnerNeeded(o scheduler.Order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.RunnerNeeded(o.Runner.ID)
--- a/batch/dispatch/record.go
+++ b/batch/dispatch/record.go
@@ -94,12 +94,13 @@
 	l.committed = make(chan struct{})
 }
 
-// commit retries the transaction until its outcome is clear or the term ends.
+// commit retries the transaction until its outcome is clear or the term ends. It
+// returns the revision and true if the transaction was applied.
 func (l *Leader) commit(ctx context.Context, txn kvstore.Txn) (uint64, bool) {
 	retry := pause.Backoff{First: commitRetryDelay, Most: commitRetryDelayMax}
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, commitTimeout)
-		revision, err := l.Store.Commit(call, txn)
+		callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
+		revision, err := l.Store.Commit(callCtx, txn)
 		cancel()
 		var conflict *kvstore.ConflictError
 		switch {
--- a/batch/dispatch/speeds.go
+++ b/batch/dispatch/speeds.go
@@ -19,7 +19,7 @@
 const speedsWriteInterval = 2 * time.Second
 
 // readSpeeds reads the speeds that earlier terms learned. A record that can't be
-// decoded is ignored: speeds are learned again within some ten runs.
+// decoded is ignored: speeds are learned again within about ten runs.
 func (l *Leader) readSpeeds(ctx context.Context) (batch.Speeds, error) {
 	item, err := l.Store.Get(ctx, ledger.SpeedsKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -35,7 +35,7 @@
 	return speeds, nil
 }
 
-// speedsLoop writes learned speeds to the store until ctx ends, when they changed.
+// speedsLoop writes learned speeds that have changed to the store until ctx ends.
 func (l *Leader) speedsLoop(ctx context.Context) {
 	var last []byte
 	for pause.For(ctx, speedsWriteInterval) {
--- a/batch/host/host.go
+++ b/batch/host/host.go
@@ -31,7 +31,7 @@
 	registrationTTL           = 8 * time.Second
 	registrationRenewInterval = registrationTTL / 4    // up to three renewals may be lost
 	registrationRetryInterval = 500 * time.Millisecond // short, because hosts can only call peers that are registered
-	registrationTimeout       = time.Second            // three calls of a slow store
+	registrationTimeout       = time.Second            // three calls to a slow store
 
 	// replicaWatchWait is the longest wait of one watch. It is short, so that a
 	// connection on which the store no longer answers is replaced soon.
@@ -46,7 +46,8 @@
 	unreadyAfterStoreLoss = 1500 * time.Millisecond
 
 	// refuseAfterStoreLoss is how long the store must have been unreachable before
-	// requests are refused without a try: longer than the effect of a reset connection.
+	// requests are refused without a call to it: longer than the effect of a reset
+	// connection.
 	refuseAfterStoreLoss = 200 * time.Millisecond
 
 	// balancerNoticePeriod is how long a stopping host still accepts requests: the
@@ -61,10 +62,10 @@
 	idleTimeout       = 30 * time.Second // longer than callers pause between requests
 )
 
-// Conditions provides the operator's configuration and the runners' entries.
+// Conditions provides the operators' documents and the runners' entries.
 type Conditions interface {
 	dispatch.Conditions
-	// FollowDocuments watches the operator's documents until ctx ends.
+	// FollowDocuments follows the operators' documents until ctx ends.
 	FollowDocuments(ctx context.Context)
 }
 
@@ -75,7 +76,7 @@
 	APIAddress       string
 	ReadinessAddress string
 	GracePeriod      time.Duration // from SIGTERM to SIGKILL
-	Cores            float64       // CPU time available; the host with the most is preferred as leader
+	Cores            float64       // processor cores that this host may use; the host with the most is preferred as leader
 
 	Store         *kvstore.Fallback
 	DirectStore   kvstore.Keyspace // the store without fallback to peers; used for calls on behalf of peers
@@ -175,6 +176,8 @@
 // metricsPath is the path of the metrics, in the Prometheus text format.
 const metricsPath = "/metrics"
 
+// serveMetrics serves the metrics if there is an address for them. The caller closes
+// the returned server in either case.
 func (h *Host) serveMetrics(failed chan<- error) (*http.Server, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+metricsPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -274,19 +277,19 @@
 		Replica:      h.Replica,
 		Host:         h.Name,
 		Log:          h.Log,
-		AcquireDelay: h.electionDelay,
+		AcquireDelay: h.acquireDelay,
 		Lead:         func(ctx context.Context, t *dispatch.Term) { dispatch.Lead(ctx, h.Dispatch(), t) },
 	}
 }
 
-// maxElectionDelay is the election delay of the weakest host relative to the
+// maxAcquireDelay is the acquire delay of the weakest host relative to the
 // strongest: shorter than the extra time that a takeover by it would need.
-const maxElectionDelay = 700 * time.Millisecond
+const maxAcquireDelay = 700 * time.Millisecond
 
-// electionDelay returns how much later than the strongest host this one tries to
+// acquireDelay returns how much later than the strongest host this one tries to
 // acquire the term. Until other hosts are registered, the strongest is assumed
 // to have one whole core.
-func (h *Host) electionDelay() time.Duration {
+func (h *Host) acquireDelay() time.Duration {
 	strongest := 0.0
 	hosts := h.Replica.Hosts()
 	for _, registered := range hosts {
@@ -298,7 +301,7 @@
 	if h.Cores <= 0 || strongest <= h.Cores {
 		return 0
 	}
-	return time.Duration((1 - h.Cores/strongest) * float64(maxElectionDelay))
+	return time.Duration((1 - h.Cores/strongest) * float64(maxAcquireDelay))
 }
 
 // maintainRegistration keeps this host's address in the store until ctx ends, so
--- a/batch/intake/intake.go
+++ b/batch/intake/intake.go
@@ -111,7 +111,7 @@
 }
 
 // Submit stores a job. It returns nil once the job is stored, including when an
-// earlier request with the same id stored it.
+// earlier request with the same ID stored it.
 func (in *Intake) Submit(ctx context.Context, target Target, job batch.Job, timeout time.Duration) error {
 	if err := validate(job); err != nil {
 		return err
--- a/batch/intake/intake_test.go
+++ b/batch/intake/intake_test.go
@@ -67,10 +67,10 @@
 // be reported as not accepted.
 func TestSubmitReportsStoreOutcome(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		outcome []keyspace.Outcome // of each try; the last applies to all later tries
-		want    intake.Kind
-		within  time.Duration
+		name     string
+		outcomes []keyspace.Outcome // of each try; the last applies to all later tries
+		want     intake.Kind
+		within   time.Duration
 	}{
 		{"stored", []keyspace.Outcome{keyspace.Served}, "", 200 * time.Millisecond},
 		{"store unavailable", []keyspace.Outcome{keyspace.Refused}, intake.NotAccepted, 500 * time.Millisecond},
@@ -84,7 +84,7 @@
 					return keyspace.Served
 				}
 				tries++
-				return test.outcome[min(tries, len(test.outcome))-1]
+				return test.outcomes[min(tries, len(test.outcomes))-1]
 			})
 			target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
 			must.NoError(t, err)
@@ -119,7 +119,7 @@
 }
 
 // A job that this host's replica has not received yet must be read from the store
-// before it is reported as unknown.
+// before it is reported as unknown. It can be cancelled, also a second time.
 func TestStateReadsStoreWhenReplicaLacksJob(t *testing.T) {
 	in, replica := newIntake(nil)
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
@@ -153,7 +153,7 @@
 	must.Less(t, 50*time.Millisecond, time.Since(began))
 	must.Eq(t, intake.NotAccepted, kindOf(err))
 	must.Eq(t, 0, writes)
-	var refusal intake.RequestError
-	must.True(t, errors.As(err, &refusal))
-	must.Positive(t, refusal.RetryAfter)
+	var reqErr intake.RequestError
+	must.True(t, errors.As(err, &reqErr))
+	must.Positive(t, reqErr.RetryAfter)
 }
--- a/batch/intake/leader.go
+++ b/batch/intake/leader.go
@@ -23,7 +23,7 @@
 	leaderRetryInterval = time.Second
 )
 
-// StateArgs is the request for the state of the job with the given id.
+// StateArgs is the request for the state of the job with the given ID.
 type StateArgs struct{ ID string }
 
 // StateReply is the state of a job in the called host's replica.
--- a/batch/ledger/ledger.go
+++ b/batch/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger defines the store's keys and records of batch jobs, and keeps a
 // replica of them on every host: jobs, their states and cancellations, the leader
-// and the listed hosts. Package host keeps the replica current; the intake answers
+// and the registered hosts. Package host keeps the replica current; the intake answers
 // callers from it, and the leader reads new jobs from it. So any host can answer,
 // and any can take over as leader.
 package ledger
@@ -52,7 +52,7 @@
 // CancelKey returns the key of a job's cancellation.
 func CancelKey(id string) string { return cancelPrefix + id }
 
-// HostKey returns the key of a host's entry, which lists its address for calls
+// HostKey returns the key of a host's registration, which holds its address for calls
 // between hosts.
 func HostKey(name string) string { return hostPrefix + name }
 
@@ -63,7 +63,7 @@
 func DecodeProgress(value []byte) (batch.Progress, error) {
 	var p batch.Progress
 	if err := json.Unmarshal(value, &p); err != nil {
-		return p, errors.Wrap(err, "progress record")
+		return p, errors.Wrap(err, "decoding a progress record")
 	}
 	return p, nil
 }
@@ -75,7 +75,7 @@
 func DecodeSpeeds(value []byte) (batch.Speeds, error) {
 	var s batch.Speeds
 	if err := json.Unmarshal(value, &s); err != nil {
-		return batch.Speeds{}, errors.Wrap(err, "record of speeds")
+		return batch.Speeds{}, errors.Wrap(err, "decoding the learned speeds")
 	}
 	return s, nil
 }
@@ -114,7 +114,7 @@
 	return name
 }
 
-// Host is a host's entry, which the other hosts read.
+// Host is a host's registration, which the other hosts read.
 type Host struct {
 	Address string  `json:"address"` // for calls between hosts
 	Cores   float64 `json:"cores"`   // processor cores that the host may use
@@ -279,7 +279,7 @@
 	return r.leader
 }
 
-// Hosts returns the listed hosts by name.
+// Hosts returns the registered hosts by name.
 func (r *Replica) Hosts() map[string]Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
