--- a/batch/dispatch/leader.go
+++ b/batch/dispatch/leader.go
@@ -43,11 +43,11 @@
 	Configuration() *batch.Configuration // nil: none yet
 	Evacuated() map[string]bool
 	// FollowRunners reports changes of the runners until ctx ends.
-	FollowRunners(ctx context.Context, to RunnerEvents)
+	FollowRunners(ctx context.Context, events RunnerEventHandler)
 }
 
-// RunnerEvents receives changes of the runners. It is safe for concurrent use.
-type RunnerEvents interface {
+// RunnerEventHandler receives changes of the runners. It is safe for concurrent use.
+type RunnerEventHandler interface {
 	Listed(r batch.Runner) // the runner is new or its entry has changed
 	Unlisted(id string)    // it sends no heartbeats or its entry is invalid; it may still run tasks
 	Left(id string)        // it has ended, and so have all its tasks
@@ -64,10 +64,10 @@
 	Metrics       *metrics.Set     // nil: no metrics
 	Now           func() time.Time // returns the time of day; it never jumps
 
-	RunnerLease  time.Duration // lease of a runner, which all its tasks share
-	Cores        float64       // processor cores that this host may use
-	Early        time.Duration // how early an occurrence may start
-	RemoteFactor float64       // slow-down of tasks away from their gang's rack or their data
+	RunnerLease   time.Duration // lease of a runner, which all its tasks share
+	Cores         float64       // processor cores that this host may use
+	MaxEarlyStart time.Duration // how early an occurrence may start
+	RemoteFactor  float64       // slow-down of tasks away from their gang's rack or their data
 }
 
 // Leader schedules during one term. It owns the scheduler's core and one
@@ -108,7 +108,7 @@
 	if !l.load(ctx) {
 		return
 	}
-	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEvents{ctx, l}) })
+	l.background.Go(func() { l.Conditions.FollowRunners(ctx, runnerEventHandler{ctx, l}) })
 	l.background.Go(func() { l.recordLoop(ctx) })
 	l.background.Go(func() { l.speedsLoop(ctx) })
 	if l.AdviserRoutes.Local != nil {
@@ -122,8 +122,8 @@
 // term.
 func (l *Leader) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, loadTimeout)
-		found, err := l.readAll(call)
+		callCtx, cancel := context.WithTimeout(ctx, loadTimeout)
+		found, err := l.readAll(callCtx)
 		cancel()
 		if err == nil {
 			l.buildCore(found)
@@ -157,7 +157,7 @@
 	replica.Reset(found.jobs)
 	now := steady.Now()
 	l.core = scheduler.New(scheduler.Options{
-		MaxEarlyStart:     l.Early,
+		MaxEarlyStart:     l.MaxEarlyStart,
 		RemoteFactor:      l.RemoteFactor,
 		InheritedLeaseEnd: now.Add(maxLeaseDuration(l.RunnerLease)),
 		LearnedSpeeds:     found.speeds,
@@ -261,10 +261,10 @@
 		l.core.Decide(steady.Now(), l.Now())
 	}
 	orders := l.core.TakeOrders()
-	asks := l.core.HasAdvisedJobs()
+	advised := l.core.HasAdvisedJobs()
 	l.mu.Unlock()
 	l.sendOrders(ctx, orders)
-	if asks {
+	if advised {
 		signal(l.adviceDue)
 	}
 	signal(l.recordsDirty)
