--- a/batch/dispatch/link.go
+++ b/batch/dispatch/link.go
@@ -306,7 +306,7 @@
 
 // stopRun sends a stop order until it is answered or the runner is no longer needed.
 func (l *Leader) stopRun(ctx context.Context, o scheduler.Order) {
-	retry := pause.Backoff{First: stopRetryDelay, Most: stopRetryDelayMax}
+	retry := pause.Backoff{Initial: stopRetryDelay, Max: stopRetryDelayMax}
 	for ctx.Err() == nil && l.runnerNeeded(o) {
 		to, known := l.listedRunner(o.Runner.ID)
 		if !known { // run inherited from an earlier term; its runner isn't listed yet
