--- a/claims/bound.go
+++ b/claims/bound.go
@@ -12,7 +12,8 @@
 const maxBoundKeys = 100_000
 
 // boundIncarnation returns the incarnation that a key is bound to; ok is false
-// for a key without the prefix of an incarnation.
+// for a key without the prefix of an incarnation. An incarnation has the form
+// "<host name>.<random bytes in hexadecimal>".
 func boundIncarnation(key string) (incarnation string, ok bool) {
 	incarnation, _, found := strings.Cut(key, boundSeparator)
 	dot := strings.LastIndex(incarnation, ".")
@@ -24,7 +25,7 @@
 // is Unknown from then on.
 func (s *Service) claimBound(ctx context.Context, incarnation string, req Request) (Reply, error) {
 	if incarnation == s.incarnation {
-		return s.claimLocal(req)
+		return s.claimBoundLocally(req)
 	}
 	var reply Reply
 	found, err := s.callBound(ctx, incarnation, "Claims.Claim", req, &reply)
@@ -34,7 +35,9 @@
 	return reply, err
 }
 
-func (s *Service) claimLocal(req Request) (Reply, error) {
+// claimBoundLocally claims a key bound to this host's incarnation. It grants the
+// claim without a write, as the records of bound keys exist only in memory.
+func (s *Service) claimBoundLocally(req Request) (Reply, error) {
 	s.boundMu.Lock()
 	defer s.boundMu.Unlock()
 	if s.bound.records[hashKey(req.Key)] == nil && len(s.bound.records) >= maxBoundKeys {
@@ -47,6 +50,8 @@
 	return reply, nil
 }
 
+// completeBound completes an attempt at the host of the incarnation that its key is
+// bound to. It does nothing when membership does not list that host.
 func (s *Service) completeBound(ctx context.Context, incarnation string, c Completion) error {
 	if incarnation == s.incarnation {
 		s.boundMu.Lock()
@@ -59,6 +64,8 @@
 	return err
 }
 
+// lookupBound looks a key up at the host of the incarnation it is bound to. The
+// verdict on the keys of an incarnation that has ended is Unknown.
 func (s *Service) lookupBound(ctx context.Context, incarnation string, k Key) (Reply, error) {
 	if incarnation == s.incarnation {
 		s.boundMu.Lock()
@@ -98,7 +105,7 @@
 // Claim claims a key that is bound to this host or whose shard it owns.
 func (e *endpoint) Claim(req Request, reply *Reply) error {
 	if incarnation, ok := boundIncarnation(req.Key.Key); ok {
-		return e.answerBound(incarnation, reply, func() (Reply, error) { return e.service.claimLocal(req) })
+		return e.answerBound(incarnation, reply, func() (Reply, error) { return e.service.claimBoundLocally(req) })
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -5,8 +5,9 @@
 // A key hashes to a shard. One entry host owns a shard under a lease of the
 // platform, keeps the shard's records in memory and appends them in groups to a
 // log in the platform's store. Each append is a compare-and-swap, which fences
-// earlier owners. Keys bound to one entry host's incarnation need no platform:
-// their records exist only in that host's memory and are lost when it ends.
+// earlier owners. An incarnation is one run of an entry host's process. Keys bound
+// to an incarnation need no platform: their records exist only in the memory of
+// that process and are lost when it ends.
 package claims
 
 import (
@@ -29,7 +30,7 @@
 type Request struct {
 	Key         Key
 	Fingerprint uint64    // hash of method, path and body; a key may not be reused for another request
-	Attempt     string    // unique ID of this claim
+	Attempt     string    // unique ID of the caller's attempt; the attempt that holds the key is granted it again
 	Until       time.Time // deadline by which the request has ended, whatever its outcome
 }
 
@@ -63,9 +64,9 @@
 // Completion reports how a granted attempt ended.
 type Completion struct {
 	Key     Key
-	Attempt string
-	NotRun  bool // the request was not executed; the key may be claimed again
-	Unknown bool // the request may or may not have been executed
+	Attempt string // Attempt of the granted Request
+	NotRun  bool   // the request was not executed; the key may be claimed again
+	Unknown bool   // the request may or may not have been executed
 	Answer  Answer
 }
 
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -53,27 +53,28 @@
 	})
 	c := &cluster{store: store}
 	listeners := make([]net.Listener, n)
-	var list []kvstore.Host
+	var members []kvstore.Host
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(t, err)
 		listeners[i] = l
-		list = append(list, kvstore.Host{Name: fmt.Sprintf("e%d", i), Kind: kvstore.EntryHost, PeerAddress: l.Addr().String()})
+		members = append(members, kvstore.Host{Name: fmt.Sprintf("e%d", i), Kind: kvstore.EntryHost, PeerAddress: l.Addr().String()})
 	}
 	for i := range n {
-		c.hosts = append(c.hosts, startHost(t, server.Listener.Addr().String(), listeners[i], list, i, change))
+		c.hosts = append(c.hosts, startHost(t, server.Listener.Addr().String(), listeners[i], members, i, change))
 	}
 	return c
 }
 
-func startHost(t *testing.T, store string, l net.Listener, list []kvstore.Host, i int, change []func(*claims.Options)) *host {
+// startHost starts the claims service of members[i].
+func startHost(t *testing.T, store string, l net.Listener, members []kvstore.Host, i int, change []func(*claims.Options)) *host {
 	proxy, err := faultproxy.New(store)
 	must.NoError(t, err)
 	pool := peer.NewPool(peer.Options{Timeout: 500 * time.Millisecond})
 	o := claims.Options{
 		Store:          kvstore.NewClient("http://" + proxy.Addr()),
 		Peers:          pool,
-		Membership:     staticView{&membership.View{Self: list[i], Hosts: list}},
+		Membership:     staticView{&membership.View{Self: members[i], Hosts: members}},
 		CommitInterval: 5 * time.Millisecond,
 		LeaseTTL:       leaseTTL,
 		Segments:       8,
@@ -110,8 +111,8 @@
 }
 
 // claim makes one claim of a key at a host.
-func (h *host) claim(key, attempt string, wait time.Duration) (claims.Verdict, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func (h *host) claim(key, attempt string, timeout time.Duration) (claims.Verdict, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	reply, err := h.service.Claim(ctx, request(key, attempt))
 	return reply.Verdict, err
@@ -159,12 +160,12 @@
 	c.hosts[0].mustGrant(t, "first", "a")
 	began := time.Now()
 	ctx, cancel := context.WithCancel(t.Context())
-	var tries sync.WaitGroup
+	var claimers sync.WaitGroup
 	var mu sync.Mutex
 	grants := make(map[string]int)
 	for i, h := range c.hosts {
 		rng := rand.New(rand.NewSource(int64(i)))
-		tries.Go(func() {
+		claimers.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				newest := int(time.Since(began) / newKeyInterval)
 				key := fmt.Sprint("key", max(0, newest-rng.Intn(recentKeys)))
@@ -185,7 +186,7 @@
 		}
 	}
 	cancel()
-	tries.Wait()
+	claimers.Wait()
 	must.Greater(t, minGrantedKeys, len(grants))
 	for key, n := range grants {
 		must.Eq(t, 1, n, must.Sprint(key))
@@ -244,8 +245,8 @@
 	}
 	done := claims.Completion{Key: request("k0", "a").Key, Attempt: "a", Answer: claims.Answer{Status: 201}}
 	must.NoError(t, c.hosts[0].service.Complete(ctx, done))
-	free := claims.Completion{Key: request("k1", "a").Key, Attempt: "a", NotRun: true}
-	must.NoError(t, c.hosts[0].service.Complete(ctx, free))
+	notRun := claims.Completion{Key: request("k1", "a").Key, Attempt: "a", NotRun: true}
+	must.NoError(t, c.hosts[0].service.Complete(ctx, notRun))
 	c.hosts[0].stop()
 	c.hosts[1].stop()
 	last := c.hosts[2]
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxParallelLoads = 16
-	callTimeout      = time.Second
-	initialBackoff   = 20 * time.Millisecond
+	maxParallelLoads = 16                    // slots read in parallel during a take-over
+	callTimeout      = time.Second           // per call to the store, and per claim for another host
+	initialBackoff   = 20 * time.Millisecond // delay before the first retry; doubles up to maxBackoff
 	maxBackoff       = time.Second
-	maxFenceAttempts = 8
+	maxFenceAttempts = 8 // per take-over
 )
 
 var (
@@ -29,8 +29,8 @@
 	errLogFull = errors.New("claims: every segment of the log holds keys within their retention; raise Segments or lower Retention")
 )
 
-// journal is a shard's log: a ring of segments in the store, each under its own
-// key. Events are appended to the newest segment only. Each write is a
+// journal is a shard's log: a ring of slots, which are keys of the store that hold
+// one segment each. Events are appended to the newest segment only. Each write is a
 // compare-and-swap on the slot's version last read or written by this owner.
 // It is not safe for concurrent use.
 type journal struct {
@@ -244,18 +244,18 @@
 		j.versions[slot] = e.Version
 		return nil
 	}
-	now, readErr := j.opts.Store.Get(ctx, j.slotKey(slot))
+	stored, readErr := j.opts.Store.Get(ctx, j.slotKey(slot))
 	if errors.Is(readErr, kvstore.ErrNotFound) && j.versions[slot] == 0 {
 		return err
 	}
 	if readErr != nil {
 		return errors.Mark(readErr, kvstore.ErrUnavailable)
 	}
-	if bytes.Equal(now.Value, value) {
-		j.versions[slot] = now.Version
+	if bytes.Equal(stored.Value, value) {
+		j.versions[slot] = stored.Version
 		return nil
 	}
-	if now.Version != j.versions[slot] {
+	if stored.Version != j.versions[slot] {
 		return kvstore.ErrConflict
 	}
 	return errors.Mark(err, kvstore.ErrUnavailable)
--- a/claims/lease.go
+++ b/claims/lease.go
@@ -29,60 +29,60 @@
 
 // getOrGrant returns the lease, and requests one from the store when there is
 // none.
-func (k *leaseManager) getOrGrant(ctx context.Context) (kvstore.Lease, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.lease.ID != "" {
-		return k.lease, nil
+func (m *leaseManager) getOrGrant(ctx context.Context) (kvstore.Lease, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.lease.ID != "" {
+		return m.lease, nil
 	}
-	lease, err := k.store.Grant(ctx, k.ttl)
+	lease, err := m.store.Grant(ctx, m.ttl)
 	if err == nil {
-		k.lease = lease
+		m.lease = lease
 	}
 	return lease, err
 }
 
 // forget drops a lease that has lapsed, so that getOrGrant requests a new one.
-func (k *leaseManager) forget(lease kvstore.Lease) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.lease.ID == lease.ID {
-		k.lease = kvstore.Lease{}
+func (m *leaseManager) forget(lease kvstore.Lease) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.lease.ID == lease.ID {
+		m.lease = kvstore.Lease{}
 	}
 }
 
 // renewUntilDone renews the lease at each interval until ctx ends.
-func (k *leaseManager) renewUntilDone(ctx context.Context, interval time.Duration) {
+func (m *leaseManager) renewUntilDone(ctx context.Context, interval time.Duration) {
 	for pause.For(ctx, interval) {
-		k.mu.Lock()
-		lease := k.lease
-		k.mu.Unlock()
+		m.mu.Lock()
+		lease := m.lease
+		m.mu.Unlock()
 		if lease.ID == "" {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(kvstore.Urgent(ctx), interval)
-		err := k.store.Renew(callCtx, lease)
+		err := m.store.Renew(callCtx, lease)
 		cancel()
 		if errors.Is(err, kvstore.ErrLeaseLost) {
-			k.forget(lease)
+			m.forget(lease)
 		}
 	}
 }
 
 // revokeWithTimeout calls revoke and waits for at most callTimeout.
-func (k *leaseManager) revokeWithTimeout(ctx context.Context) {
+func (m *leaseManager) revokeWithTimeout(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	k.revoke(ctx)
+	m.revoke(ctx)
 }
 
 // revoke ends the lease, so that other hosts can take its shards over at once.
-func (k *leaseManager) revoke(ctx context.Context) {
-	k.mu.Lock()
-	lease := k.lease
-	k.lease = kvstore.Lease{}
-	k.mu.Unlock()
+func (m *leaseManager) revoke(ctx context.Context) {
+	m.mu.Lock()
+	lease := m.lease
+	m.lease = kvstore.Lease{}
+	m.mu.Unlock()
 	if lease.ID != "" {
-		_ = k.store.Revoke(ctx, lease)
+		_ = m.store.Revoke(ctx, lease)
 	}
 }
--- a/claims/segment.go
+++ b/claims/segment.go
@@ -13,19 +13,19 @@
 type eventKind uint8
 
 const (
-	eventClaimed eventKind = iota + 1
-	eventReleased
-	eventUnknown
-	eventDone
+	eventClaimed  eventKind = iota + 1 // the attempt was granted the key
+	eventReleased                      // the key may be claimed again
+	eventUnknown                       // the outcome of the attempt is not known
+	eventDone                          // the attempt was executed
 )
 
 // event is one entry of a shard's log.
 type event struct {
 	kind        eventKind
-	status      uint16
+	status      uint16    // of the answer; 0 unless kind is eventDone
 	until       time.Time // deadline of the attempt; stored to the millisecond
 	hash        keyHash
-	attempt     uint64
+	attempt     uint64 // hash of the attempt's ID
 	fingerprint uint64
 }
 
@@ -65,11 +65,11 @@
 
 // encode returns the segment as it is stored.
 func (s segment) encode() []byte {
-	head := wireSegment{
+	header := wireSegment{
 		Format: segmentFormat, Term: s.term, Seq: s.seq, Commits: s.commits,
 		NewestMillis: s.newest.UnixMilli(), Events: uint32(len(s.events)),
 	}
-	out, _ := binary.Append(nil, binary.BigEndian, head)
+	out, _ := binary.Append(nil, binary.BigEndian, header)
 	for _, e := range s.events {
 		w := wireEvent{
 			Kind: uint8(e.kind), Status: e.status, UntilMillis: e.until.UnixMilli(),
@@ -83,21 +83,21 @@
 // decodeSegment decodes the output of encode.
 func decodeSegment(data []byte) (segment, error) {
 	in := bytes.NewReader(data)
-	var head wireSegment
-	if err := binary.Read(in, binary.BigEndian, &head); err != nil {
+	var header wireSegment
+	if err := binary.Read(in, binary.BigEndian, &header); err != nil {
 		return segment{}, errors.Wrap(err, "claims: segment is too short; restore the store's value")
 	}
-	if head.Format != segmentFormat {
-		return segment{}, errors.Newf("claims: segment of unknown format %d; run one version of the program", head.Format)
+	if header.Format != segmentFormat {
+		return segment{}, errors.Newf("claims: segment of unknown format %d; run one version of the program", header.Format)
 	}
-	if int(head.Events)*binary.Size(wireEvent{}) != in.Len() {
+	if int(header.Events)*binary.Size(wireEvent{}) != in.Len() {
 		return segment{}, errors.New("claims: segment is damaged; restore the store's value")
 	}
-	wire := make([]wireEvent, head.Events)
+	wire := make([]wireEvent, header.Events)
 	if err := binary.Read(in, binary.BigEndian, wire); err != nil {
 		return segment{}, errors.Wrap(err, "claims: segment is damaged; restore the store's value")
 	}
-	s := segment{term: head.Term, seq: head.Seq, commits: head.Commits, newest: time.UnixMilli(head.NewestMillis)}
+	s := segment{term: header.Term, seq: header.Seq, commits: header.Commits, newest: time.UnixMilli(header.NewestMillis)}
 	for _, w := range wire {
 		s.events = append(s.events, event{
 			kind: eventKind(w.Kind), status: w.Status, until: time.UnixMilli(w.UntilMillis),
--- a/claims/service.go
+++ b/claims/service.go
@@ -39,8 +39,8 @@
 	ownerRetryInterval    = 50 * time.Millisecond
 	expireInterval        = time.Minute
 	watchTimeout          = 15 * time.Second // the store answers a watch within 10 s
-	incarnationBytes      = 8
-	boundSeparator        = "~"
+	incarnationBytes      = 8                // random bytes in an incarnation's name
+	boundSeparator        = "~"              // between the incarnation and the caller's part of a bound key
 )
 
 // Options configures a Service. Shards, Segments and EventsPerSegment must be
@@ -52,16 +52,16 @@
 	Store            kvstore.Store
 	Peers            peer.Caller
 	Membership       membership.Source
-	Shards           int
+	Shards           int           // number of shards that the keys are spread over
 	Segments         int           // number of values in the ring of a shard's log
 	EventsPerSegment int           // maximum; each key takes two events
 	Retention        time.Duration // minimum time for which a key is kept
 	CommitInterval   time.Duration // minimum time between two writes of a shard
 	CompletionDelay  time.Duration // maximum time for which a completion is queued before it is written
-	LeaseTTL         time.Duration
+	LeaseTTL         time.Duration // TTL of the lease under which this host owns shards
 
-	commits *metrics.Counter
-	grants  *metrics.Counter
+	commits *metrics.Counter // set by withDefaults
+	grants  *metrics.Counter // set by withDefaults
 }
 
 func (o Options) withDefaults() Options {
@@ -87,7 +87,7 @@
 	}
 }
 
-// owner is the value of a shard's owner key.
+// owner is the value of a shard's owner key: the entry host that owns the shard.
 type owner struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"` // IP:port of its peer listener
@@ -169,7 +169,7 @@
 	return reply, err
 }
 
-// shardOf returns the shard of a key.
+// shardOf returns the index of a key's shard.
 func (s *Service) shardOf(k Key) int {
 	h := hashKey(k)
 	return int(h[0]) % s.opts.Shards
@@ -232,9 +232,9 @@
 	wg.Go(func() { s.lease.renewUntilDone(ctx, s.opts.LeaseTTL/renewalsPerTTL) })
 	wg.Go(func() { s.expireUntilDone(ctx) })
 	wg.Wait()
-	handover, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	handoverCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	s.lease.revoke(handover)
+	s.lease.revoke(handoverCtx)
 	return nil
 }
 
@@ -260,7 +260,7 @@
 	backoff := initialBackoff
 	immediate := true
 	for ctx.Err() == nil {
-		head, err := s.readOwnerKey(ctx, key, version, immediate)
+		entry, err := s.readOwnerKey(ctx, key, version, immediate)
 		s.storeFailing.Store(err != nil)
 		if err != nil {
 			immediate = true
@@ -269,9 +269,9 @@
 			continue
 		}
 		backoff, immediate = initialBackoff, false
-		version = head.Version
-		s.recordOwner(index, head)
-		if head.Lease != "" {
+		version = entry.Version
+		s.recordOwner(index, entry)
+		if entry.Lease != "" {
 			continue
 		}
 		if !pause.For(ctx, s.takeOverDelay()) {
@@ -302,10 +302,10 @@
 }
 
 // recordOwner stores the owner that an owner key names, for callOwner.
-func (s *Service) recordOwner(index int, head kvstore.Entry) {
+func (s *Service) recordOwner(index int, entry kvstore.Entry) {
 	var o owner
-	if len(head.Value) > 0 {
-		if err := json.Unmarshal(head.Value, &o); err != nil {
+	if len(entry.Value) > 0 {
+		if err := json.Unmarshal(entry.Value, &o); err != nil {
 			s.opts.Logger.Warn("decoding the owner of a claims shard failed", "shard", index, "err", err)
 		}
 	}
@@ -377,14 +377,14 @@
 func (s *Service) watchTerm(ctx context.Context, index int, term uint64, onLost func()) {
 	version, failed := term, false
 	for ctx.Err() == nil {
-		head, err := s.readOwnerKey(ctx, ownerKey(index), version, failed)
+		entry, err := s.readOwnerKey(ctx, ownerKey(index), version, failed)
 		failed = err != nil
 		if err != nil {
 			pause.For(ctx, maxBackoff)
 			continue
 		}
-		version = head.Version
-		if head.Version != term {
+		version = entry.Version
+		if entry.Version != term {
 			onLost()
 			return
 		}
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -31,7 +31,7 @@
 type shard struct {
 	opts    *Options
 	journal *journal
-	wake    chan struct{} // holds a token when queue is not empty
+	wake    chan struct{} // receives a token when an event is queued
 
 	mu           sync.Mutex
 	table        *table
@@ -90,11 +90,11 @@
 		return reply, nil
 	}
 	writeFailed := s.writeFailed
-	result := make(chan error, 1)
-	s.enqueue(queuedEvent{event: r.event(eventClaimed), record: r, written: result})
+	written := make(chan error, 1)
+	s.enqueue(queuedEvent{event: r.event(eventClaimed), record: r, written: written})
 	s.mu.Unlock()
 	select {
-	case err := <-result:
+	case err := <-written:
 		return reply, err
 	case <-writeFailed:
 		return s.abandon(r, reply)
@@ -149,7 +149,8 @@
 }
 
 // run writes the queue in groups until ctx ends or the shard is lost. After ctx
-// ends it writes the remaining queue, for at most callTimeout, and returns.
+// ends it writes one more group, for at most callTimeout, refuses the claims that
+// are still queued, and returns.
 func (s *shard) run(ctx context.Context) error {
 	writeCtx, stop := withGracePeriod(ctx, callTimeout)
 	defer stop()
@@ -234,11 +235,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue = slices.DeleteFunc(s.queue, func(e queuedEvent) bool {
-		stale := e.record != nil && e.record.abandoned
-		if stale {
+		abandoned := e.record != nil && e.record.abandoned
+		if abandoned {
 			delete(s.table.records, e.record.hash)
 		}
-		return stale
+		return abandoned
 	})
 	n := min(len(s.queue), s.opts.EventsPerSegment)
 	group := s.queue[:n:n]
--- a/claims/table.go
+++ b/claims/table.go
@@ -25,22 +25,22 @@
 
 func hashAttempt(attempt string) uint64 { return xxhash.Sum64String(attempt) }
 
-// state is the stage of a record.
+// state is the stage of a record's claim.
 type state uint8
 
 const (
 	pending state = iota // queued; not yet in the store
 	claimed              // in the store and granted
-	done
-	unknown
+	done                 // the request was executed
+	unknown              // the outcome of the attempt is not known
 )
 
-// record is the state of one key.
+// record holds the claim of one key.
 type record struct {
 	hash        keyHash
-	attempt     uint64
+	attempt     uint64 // hash of the attempt's ID
 	fingerprint uint64
-	until       time.Time
+	until       time.Time // deadline of the attempt
 	state       state
 	abandoned   bool // pending, and its caller no longer waits
 	answer      Answer
@@ -99,7 +99,8 @@
 }
 
 // complete records the outcome of an attempt. It returns the event to store; ok
-// is false when there is none.
+// is false when there is none. While the claim is pending there is none: a
+// completion as not run marks the claim as abandoned, and any other is ignored.
 func (t *table) complete(c Completion) (e event, ok bool) {
 	r := t.records[hashKey(c.Key)]
 	if r == nil || r.attempt != hashAttempt(c.Attempt) {
--- a/intake/bench_test.go
+++ b/intake/bench_test.go
@@ -38,11 +38,11 @@
 						wg.Go(func() { must.NoError(b, act(ins[i%hosts], spec(fmt.Sprint("job-", i)))) })
 					}
 					wg.Wait()
-					what := []string{"submit", "cancel"}[phase]
+					phaseName := []string{"submit", "cancel"}[phase]
 					after := s.kv.Calls()
-					b.ReportMetric(float64(after["put"]-before["put"]), what+"-writes")
-					b.ReportMetric(float64(after["get"]-before["get"]), what+"-reads")
-					b.ReportMetric(time.Since(began).Seconds(), what+"-s")
+					b.ReportMetric(float64(after["put"]-before["put"]), phaseName+"-writes")
+					b.ReportMetric(float64(after["get"]-before["get"]), phaseName+"-reads")
+					b.ReportMetric(time.Since(began).Seconds(), phaseName+"-s")
 				}
 			}
 		})
--- a/intake/choose.go
+++ b/intake/choose.go
@@ -20,8 +20,8 @@
 	load       float64 // requested accelerators divided by available ones
 }
 
-// betterThan orders candidates by guarantee, then by load, then prefers the local
-// one, then by name.
+// betterThan reports whether c is preferred to d: a candidate with a guarantee
+// first, then the less loaded one, then the local one, then the first by name.
 func (c candidate) betterThan(d candidate) bool {
 	if c.guaranteed != d.guaranteed {
 		return c.guaranteed
@@ -70,7 +70,8 @@
 }
 
 // bestCandidate returns the best of the failure domains that start jobs at
-// present. When none does, it returns the best of all, and the job waits there.
+// present. When none does, it returns the best of all, and the job waits there. It
+// adds the job to the cached load of the failure domain that it returns.
 func (in *Intake) bestCandidate(ctx context.Context, snap *config.Snapshot, rec job.Record, fitting []candidate) (string, error) {
 	var usable []candidate
 	for _, c := range fitting {
@@ -108,6 +109,7 @@
 	return out
 }
 
+// capacity returns the number of accelerators of a failure domain's workers.
 func (in *Intake) capacity(domain string) int {
 	sum := 0
 	for _, w := range in.workers(domain) {
@@ -143,39 +145,40 @@
 	defer l.readMu.Unlock()
 	now := l.o.Now()
 	l.mu.Lock()
-	k := l.byDomain[domain]
-	stale := k == nil || now.Sub(k.readAt) >= maxLoadAge
+	cached := l.byDomain[domain]
+	stale := cached == nil || now.Sub(cached.readAt) >= maxLoadAge
 	l.mu.Unlock()
 	if stale {
 		l.refresh(ctx, domain, now)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k = l.byDomain[domain]
-	if k == nil || capacity == 0 {
+	cached = l.byDomain[domain]
+	if cached == nil || capacity == 0 {
 		return 0
 	}
-	return float64(k.accelerators) / float64(capacity)
+	return float64(cached.accelerators) / float64(capacity)
 }
 
-// refresh reads a failure domain's load from its ledger.
+// refresh reads a failure domain's load from its ledger. If the read fails, the last
+// known load is used for another maxLoadAge.
 func (l *loadCache) refresh(ctx context.Context, domain string, now time.Time) {
 	records, err := l.records(ctx, domain)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.byDomain[domain]
-	if k == nil {
-		k = &load{}
-		l.byDomain[domain] = k
+	cached := l.byDomain[domain]
+	if cached == nil {
+		cached = &load{}
+		l.byDomain[domain] = cached
 	}
-	k.readAt = now
+	cached.readAt = now
 	if err != nil {
 		return
 	}
-	k.accelerators = 0
+	cached.accelerators = 0
 	for _, r := range records {
 		if !r.State.Terminal() && r.State != job.Moved {
-			k.accelerators += r.Spec.Shape.Accelerators()
+			cached.accelerators += r.Spec.Shape.Accelerators()
 		}
 	}
 }
@@ -194,7 +197,7 @@
 func (l *loadCache) addJob(domain string, accelerators int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.byDomain[domain]; k != nil {
-		k.accelerators += accelerators
+	if cached := l.byDomain[domain]; cached != nil {
+		cached.accelerators += accelerators
 	}
 }
--- a/intake/forward.go
+++ b/intake/forward.go
@@ -14,7 +14,8 @@
 	"github.com/cyclamentray/cyclamentray/telemetry"
 )
 
-// forwardTimeout is the timeout of a call to the writer host.
+// forwardTimeout is the timeout of a call to the writer host, which writerHost
+// returns.
 const forwardTimeout = 2 * time.Second
 
 // Methods of the net/rpc service that entry hosts of a failure domain call on
@@ -117,15 +118,15 @@
 	if view.Self.Name == scheduler {
 		return kvstore.Host{}, false
 	}
-	for _, n := range view.LocalPeers() {
-		if n.Leaving {
+	for _, p := range view.LocalPeers() {
+		if p.Leaving {
 			continue
 		}
-		if n.Name == scheduler {
-			return n, true
+		if p.Name == scheduler {
+			return p, true
 		}
-		if sum := xxhash.Sum64String(n.Name); sum > top {
-			best, top = n, sum
+		if sum := xxhash.Sum64String(p.Name); sum > top {
+			best, top = p, sum
 		}
 	}
 	return best, best.Name != view.Self.Name
--- a/intake/http.go
+++ b/intake/http.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxSpecBytes    = 64 << 10
-	holdCallTimeout = time.Second
-	methodHold      = "Gangs.Hold"
+	maxSpecBytes    = 64 << 10     // of the body of a submission
+	holdCallTimeout = time.Second  // per entry host that is asked why a job waits
+	methodHold      = "Gangs.Hold" // of package gang; replies with the fields of holdReply
 )
 
 // Register adds the job calls to mux. The context of each request must hold the
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,9 +1,9 @@
 // Package intake accepts jobs from callers, stores them in the ledger, and reports
 // their state. Any entry host accepts any job; callers use the HTTP calls that
-// Register adds. On the host that holds a failure domain's term, Run prunes ended
-// jobs and moves queued ones between failure domains. The jobs are in the
-// platform's store; an Intake itself keeps only cached loads and the times at
-// which failure domains stopped starting jobs.
+// Register adds. On the host that holds a failure domain's term as its scheduler
+// (see package election), Run prunes ended jobs and moves queued ones between
+// failure domains. The jobs are in the platform's store; an Intake itself keeps
+// only cached loads and the times at which failure domains stopped starting jobs.
 package intake
 
 import (
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -30,7 +30,8 @@
 var org = auth.Identity{Organisation: "org"}
 
 // site is the store, the configuration, the host list and the clock that the entry
-// hosts of a test share.
+// hosts of a test share. It is their config.Source, membership.Source and
+// election.Holder.
 type site struct {
 	kv    *kv.Server
 	store kvstore.Store
@@ -286,7 +287,7 @@
 	must.Len(t, 4, jobs)
 }
 
-func TestQueuedJobsLeaveFailureDomainOutOfService(t *testing.T) {
+func TestQueuedJobsAreMovedWhenFailureDomainIsOutOfService(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.edit(func(c *config.Snapshot) { c.FailureDomains["fd2"] = config.FailureDomain{Name: "fd2", Out: true} })
--- a/intake/ledger/ledger.go
+++ b/intake/ledger/ledger.go
@@ -33,12 +33,12 @@
 var errFull = apierr.New(apierr.Overloaded,
 	"the job ledger is full", "wait until ended jobs are pruned, then submit again under the same name")
 
-// Claim is the index entry of a job: it binds the job to its spec and to the failure
-// domain whose ledger holds it.
+// Claim is a job's entry in the index: it claims the job's ID for one spec, and
+// names the failure domain whose ledger holds the job.
 type Claim struct {
 	FailureDomain string    `json:"failureDomain"`
 	Digest        string    `json:"digest"` // of the spec as submitted
-	At            time.Time `json:"at"`
+	At            time.Time `json:"at"`     // when the ID was claimed
 }
 
 // Digest returns a hash of a spec's content.
@@ -84,41 +84,41 @@
 
 // New returns the ledgers in a store. It reads nothing from the store.
 func New(o Options) *Ledgers {
-	b := &Ledgers{o: o, jobs: make(map[string]*Jobs)}
-	b.index = NewTable[Claim](b.table(indexPrefix))
-	b.notes = NewTable[json.RawMessage](b.table(notesPrefix))
-	return b
+	l := &Ledgers{o: o, jobs: make(map[string]*Jobs)}
+	l.index = NewTable[Claim](l.tableOptions(indexPrefix))
+	l.notes = NewTable[json.RawMessage](l.tableOptions(notesPrefix))
+	return l
 }
 
-func (b *Ledgers) table(prefix string) TableOptions {
+func (l *Ledgers) tableOptions(prefix string) TableOptions {
 	return TableOptions{
-		Store: b.o.Store, Prefix: prefix, Shards: b.o.Shards, WriteInterval: b.o.WriteInterval,
-		Now: b.o.Now, Logger: b.o.Logger, Metrics: b.o.Metrics,
+		Store: l.o.Store, Prefix: prefix, Shards: l.o.Shards, WriteInterval: l.o.WriteInterval,
+		Now: l.o.Now, Logger: l.o.Logger, Metrics: l.o.Metrics,
 	}
 }
 
 // Index returns the index of the jobs of all failure domains.
-func (b *Ledgers) Index() *Index { return b.index }
+func (l *Ledgers) Index() *Index { return l.index }
 
 // Store returns the store that holds the ledgers.
-func (b *Ledgers) Store() kvstore.Store { return b.o.Store }
+func (l *Ledgers) Store() kvstore.Store { return l.o.Store }
 
 // Notes returns the table of the estimates that schedulers learn.
-func (b *Ledgers) Notes() *Notes { return b.notes }
+func (l *Ledgers) Notes() *Notes { return l.notes }
 
 // Jobs returns a failure domain's ledger.
-func (b *Ledgers) Jobs(failureDomain string) *Jobs {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.jobs[failureDomain]
+func (l *Ledgers) Jobs(failureDomain string) *Jobs {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.jobs[failureDomain]
 	if t == nil {
-		t = NewTable[job.Record](b.table(jobsPrefix + failureDomain))
-		b.jobs[failureDomain] = t
+		t = NewTable[job.Record](l.tableOptions(jobsPrefix + failureDomain))
+		l.jobs[failureDomain] = t
 	}
 	return t
 }
 
 // Run keeps the snapshot of one failure domain's ledger current until ctx ends.
-func (b *Ledgers) Run(ctx context.Context, failureDomain string) error {
-	return b.Jobs(failureDomain).Run(ctx)
+func (l *Ledgers) Run(ctx context.Context, failureDomain string) error {
+	return l.Jobs(failureDomain).Run(ctx)
 }
--- a/intake/ledger/ledger_test.go
+++ b/intake/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 type faultyStore struct {
 	kvstore.Store
 	mu          sync.Mutex
-	loseAnswers int // number of next writes that take effect but whose reply is lost
+	loseReplies int // number of next writes that take effect but whose reply is lost
 	dropWrites  int // number of next writes that do not reach the store
 	writes      int
 }
@@ -35,8 +35,8 @@
 		return kvstore.Entry{}, kvstore.ErrUnavailable
 	}
 	e, err := f.Store.CompareAndSwap(ctx, key, value, version)
-	if f.loseAnswers > 0 {
-		f.loseAnswers--
+	if f.loseReplies > 0 {
+		f.loseReplies--
 		return kvstore.Entry{}, kvstore.ErrAmbiguous
 	}
 	return e, err
@@ -56,11 +56,11 @@
 // the value.
 func increment(old int, _ bool) (int, bool, error) { return old + 1, true, nil }
 
-func TestUpdateIsWrittenOnceWhenAnswersAreLost(t *testing.T) {
+func TestUpdateIsWrittenOnceWhenRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	store := newStore(t)
 	table := newTable(store)
-	store.loseAnswers, store.dropWrites = 2, 1
+	store.loseReplies, store.dropWrites = 2, 1
 	for want := 1; want <= 3; want++ {
 		got, err := table.Update(context.Background(), "a", increment)
 		must.NoError(t, err)
--- a/intake/ledger/shard.go
+++ b/intake/ledger/shard.go
@@ -41,12 +41,12 @@
 	key string
 
 	mu         sync.Mutex
-	page       page[V]
-	version    uint64
-	confirmed  time.Time
-	loaded     bool
-	pending    []*update[V]
-	committing bool
+	page       page[V]      // cached
+	version    uint64       // version of page in the store
+	confirmed  time.Time    // start of the latest call to the store that showed page to be current
+	loaded     bool         // page was read or written at least once
+	pending    []*update[V] // updates of the next group
+	committing bool         // commitLoop is running
 	reading    bool         // readLoop is running
 	nextRead   *readCall[V] // the next call of readLoop; nil: none is requested
 }
@@ -67,12 +67,12 @@
 }
 
 // applyRead updates the cached page from an entry read from the store, unless the
-// cached one is newer. asked is the time before the read.
-func (s *shard[V]) applyRead(e kvstore.Entry, asked time.Time) (page[V], error) {
+// cached one is newer. callStart is the time before the read.
+func (s *shard[V]) applyRead(e kvstore.Entry, callStart time.Time) (page[V], error) {
 	s.mu.Lock()
 	if s.loaded && e.Version == s.version {
 		defer s.mu.Unlock()
-		s.confirmed = laterOf(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, callStart)
 		return s.page, nil
 	}
 	s.mu.Unlock()
@@ -80,19 +80,20 @@
 	if err != nil {
 		return p, err
 	}
-	s.install(p, e.Version, asked)
+	s.install(p, e.Version, callStart)
 	return p, nil
 }
 
-// install caches a page unless the cached one is newer.
-func (s *shard[V]) install(p page[V], version uint64, asked time.Time) {
+// install caches a page unless the cached one is newer. callStart is the time before
+// the call to the store that read or wrote the page.
+func (s *shard[V]) install(p page[V], version uint64, callStart time.Time) {
 	s.mu.Lock()
 	newer := !s.loaded || version > s.version
 	if newer {
 		s.page, s.version, s.loaded = p, version, true
 	}
 	if version >= s.version {
-		s.confirmed = laterOf(s.confirmed, asked)
+		s.confirmed = laterOf(s.confirmed, callStart)
 	}
 	s.mu.Unlock()
 	if newer {
@@ -111,7 +112,7 @@
 func (s *shard[V]) fetch(ctx context.Context) (page[V], error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := s.t.o.Now()
+	callStart := s.t.o.Now()
 	s.t.reads.Inc()
 	e, err := s.t.o.Store.Get(ctx, s.key)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -120,12 +121,12 @@
 	if err != nil {
 		return page[V]{}, err
 	}
-	return s.applyRead(e, asked)
+	return s.applyRead(e, callStart)
 }
 
-// read returns the shard's page at some time after the call of read. Callers share
-// a read that has not begun yet, but never one that has: it may miss writes that
-// ended before the call.
+// read reads the shard's page with a call to the store that begins after read is
+// called. Callers share a read that has not begun yet, but never one that has: it
+// may miss writes that ended before they called.
 func (s *shard[V]) read(ctx context.Context) (page[V], error) {
 	s.mu.Lock()
 	call := s.nextRead
@@ -146,7 +147,8 @@
 	}
 }
 
-// readLoop makes the requested reads, one at a time, until none is requested.
+// readLoop makes the requested reads, one at a time, until none is requested. It
+// makes at most readsPerWriteInterval reads per WriteInterval.
 func (s *shard[V]) readLoop() {
 	for {
 		s.mu.Lock()
@@ -168,10 +170,10 @@
 func (s *shard[V]) watchUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		after, known := s.version, s.loaded
+		after, loaded := s.version, s.loaded
 		s.mu.Unlock()
 		var err error
-		if !known {
+		if !loaded {
 			_, err = s.fetch(ctx)
 		} else {
 			err = s.watch(ctx, after)
@@ -185,12 +187,12 @@
 // watch waits for a newer version than after, and caches it.
 func (s *shard[V]) watch(ctx context.Context, after uint64) error {
 	s.t.reads.Inc()
-	asked := s.t.o.Now()
+	callStart := s.t.o.Now()
 	e, err := s.t.o.Store.Watch(ctx, s.key, after)
 	if err != nil {
 		return err
 	}
-	_, err = s.applyRead(e, asked)
+	_, err = s.applyRead(e, callStart)
 	return err
 }
 
@@ -288,8 +290,8 @@
 // basePage returns the page that a write is based on: the cached one or, if fresh
 // is set or none is cached, one read from the store.
 func (s *shard[V]) basePage(fresh bool) (page[V], error) {
-	p, _, known := s.snapshot()
-	if known && !fresh {
+	p, _, loaded := s.snapshot()
+	if loaded && !fresh {
 		return p, nil
 	}
 	return s.fetch(context.Background())
@@ -297,6 +299,8 @@
 
 // write applies the group to the page and writes it with a compare-and-swap. If
 // the group changes nothing, it only reads the page, to confirm that it is current.
+// If the write fails, it returns the results with the error, as the write may have
+// taken effect.
 func (s *shard[V]) write(group []*update[V], nonce string) ([]result[V], error) {
 	s.mu.Lock()
 	base, version := s.page, s.version
@@ -312,7 +316,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	asked := s.t.o.Now()
+	callStart := s.t.o.Now()
 	s.t.writes.Inc()
 	e, err := s.t.o.Store.CompareAndSwap(ctx, s.key, value, version)
 	if errors.Is(err, kvstore.ErrConflict) {
@@ -321,7 +325,7 @@
 	if err != nil {
 		return results, err
 	}
-	s.install(next, e.Version, asked)
+	s.install(next, e.Version, callStart)
 	return results, nil
 }
 
--- a/intake/ledger/table.go
+++ b/intake/ledger/table.go
@@ -45,7 +45,7 @@
 	o         TableOptions
 	shards    []*shard[V]
 	mu        sync.Mutex
-	changed   chan struct{}
+	changed   chan struct{} // closed and replaced when the snapshot changes
 	writes    *metrics.Counter
 	reads     *metrics.Counter
 	conflicts *metrics.Counter
@@ -133,9 +133,9 @@
 	entries = make(map[string]V)
 	complete = true
 	for i, s := range t.shards {
-		p, at, known := s.snapshot()
+		p, at, loaded := s.snapshot()
 		maps.Copy(entries, p.Entries)
-		complete = complete && known
+		complete = complete && loaded
 		if i == 0 || at.Before(confirmed) {
 			confirmed = at
 		}
--- a/intake/linear_test.go
+++ b/intake/linear_test.go
@@ -136,7 +136,7 @@
 	for range calls {
 		in := jobInput{call: call(c.random.IntN(3)), name: fmt.Sprint("job-", c.random.IntN(names)), variant: c.random.IntN(2)}
 		began := time.Since(c.historyStart)
-		out := c.make(in)
+		out := c.do(in)
 		ended := int64(time.Since(c.historyStart))
 		if out.kind == apierr.OutcomeUnknown {
 			ended = math.MaxInt64 // it may still take effect at any later time
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *caller) make(in jobInput) jobOutput {
+func (c *caller) do(in jobInput) jobOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	s := spec(in.name)
--- a/intake/maintain.go
+++ b/intake/maintain.go
@@ -28,29 +28,30 @@
 	maxPrunedPerRound = 500
 )
 
-// prune deletes ended jobs after their retention. It deletes the index entry
-// before the record, so that an index entry without a record always belongs to a
-// new job whose record is not written yet.
+// prune deletes ended jobs after their retention. Before that it completes
+// unfinished moves, as the old record of a job is kept until its move is complete.
+// prune deletes the index entry before the record, so that an index entry without
+// a record always belongs to a new job whose record is not written yet.
 func (in *Intake) prune(ctx context.Context) {
 	jobs := in.o.Ledgers.Jobs(in.o.FailureDomain)
 	records, _, _ := jobs.Snapshot()
 	in.finishMoves(ctx, in.o.FailureDomain, records)
-	var old []string
+	var expired []string
 	for key, rec := range records {
 		ended := rec.State.Terminal() || rec.State == job.Moved
 		if rec.State == job.Moved && !rec.Arrived {
 			continue
 		}
 		if ended && in.o.Now().Sub(rec.Ended) >= in.o.Retention {
-			old = append(old, key)
+			expired = append(expired, key)
 		}
 	}
-	sort.Strings(old)
-	if len(old) > maxPrunedPerRound {
-		old = old[:maxPrunedPerRound]
+	sort.Strings(expired)
+	if len(expired) > maxPrunedPerRound {
+		expired = expired[:maxPrunedPerRound]
 	}
 	var g errgroup.Group
-	for _, key := range old {
+	for _, key := range expired {
 		g.Go(func() error { return in.pruneJob(ctx, key, records[key]) })
 	}
 	if err := g.Wait(); err != nil {
@@ -135,16 +136,16 @@
 	return out
 }
 
-// movingDomain returns the failure domain whose scheduler moves the jobs out of a
-// closed one. It is the one with the highest hash of those that start jobs, so that
-// all hosts choose the same one.
-func (in *Intake) movingDomain(snap *config.Snapshot, closed string) string {
+// movingDomain returns the failure domain whose scheduler moves the jobs out of
+// from, which starts nothing. It is the one with the highest hash of those that
+// start jobs, so that all hosts choose the same one.
+func (in *Intake) movingDomain(snap *config.Snapshot, from string) string {
 	best, top := "", uint64(0)
 	for name, d := range snap.FailureDomains {
 		if d.Out || !in.o.HasScheduler(name) {
 			continue
 		}
-		sum := xxhash.Sum64String(name + "/" + closed)
+		sum := xxhash.Sum64String(name + "/" + from)
 		if best == "" || sum > top || (sum == top && name < best) {
 			best, top = name, sum
 		}
--- a/intake/pull_test.go
+++ b/intake/pull_test.go
@@ -25,15 +25,15 @@
 	return intake.New(intake.Options{
 		FailureDomain: domain, Ledgers: ledgers, Config: s, Membership: s, Election: s, Now: s.clock,
 		SelectStartable: func(_ context.Context, records []job.Record) []job.ID {
-			var taken []job.ID
+			var startable []job.ID
 			for _, rec := range records {
 				for _, name := range names {
 					if rec.Spec.ID.Name == name {
-						taken = append(taken, rec.Spec.ID)
+						startable = append(startable, rec.Spec.ID)
 					}
 				}
 			}
-			return taken
+			return startable
 		},
 	})
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -102,8 +102,9 @@
 		rec.FailureDomain = domain
 		got, err := in.o.Ledgers.Jobs(domain).Update(ctx, rec.Spec.ID.String(),
 			func(old job.Record, found bool) (job.Record, bool, error) {
-				returned := old.State == job.Moved && old.Moves < rec.Moves
-				if !found || returned {
+				// The job was moved away from this ledger and is moved back to it.
+				movedBack := old.State == job.Moved && old.Moves < rec.Moves
+				if !found || movedBack {
 					return rec, true, nil
 				}
 				return old, true, nil
