--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -184,7 +184,7 @@
 	x.pool.putIdle(c)
 }
 
-// report classifies the attempt for the dispatcher. It leaves the ticket unset.
+// report classifies the attempt for the dispatcher. It leaves TicketID unset.
 func (x *exchange) report() AttemptReport {
 	if x.response == nil {
 		return AttemptReport{Result: Failed}
--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -45,14 +45,14 @@
 
 // AttemptReport tells the dispatcher how an attempt ended.
 type AttemptReport struct {
-	Ticket          uint64
+	TicketID        uint64
 	Result          AttemptResult
 	ConnectionClose bool // the response carried Connection: close
 }
 
 // Dispatch is the decision to send a ticket to an upstream.
 type Dispatch struct {
-	Ticket         uint64
+	TicketID       uint64
 	Upstream       kvstore.Host
 	AttemptTimeout time.Duration // applies to idempotent requests only
 }
@@ -70,8 +70,8 @@
 
 // Shed is the decision to refuse a ticket that was not dispatched.
 type Shed struct {
-	Ticket uint64
-	Reason ShedReason
+	TicketID uint64
+	Reason   ShedReason
 }
 
 // Decisions are the dispatches and sheds that the caller of a Dispatcher must
@@ -211,14 +211,14 @@
 
 // FinishAttempt frees the slot of an attempt and records its result.
 func (d *Dispatcher) FinishAttempt(now time.Time, rep AttemptReport) Decisions {
-	a, ok := d.attempts[rep.Ticket]
+	a, ok := d.attempts[rep.TicketID]
 	if !ok {
 		return Decisions{}
 	}
-	delete(d.attempts, rep.Ticket)
+	delete(d.attempts, rep.TicketID)
 	d.queue.releaseSlot(a.ticket.Organisation, chargedWork(now, a.upstream, rep))
 	d.recordResult(now, a.upstream, rep)
-	delete(a.upstream.inFlight, rep.Ticket)
+	delete(a.upstream.inFlight, rep.TicketID)
 	return d.dispatchWaiting(now, Decisions{})
 }
 
@@ -228,12 +228,12 @@
 	if rep.Result != Responded || u.samples == 0 {
 		return 1
 	}
-	took := now.Sub(u.inFlight[rep.Ticket]).Seconds()
+	took := now.Sub(u.inFlight[rep.TicketID]).Seconds()
 	return min(maxWorkCharge, took/max(u.latencySeconds, minLatencySeconds))
 }
 
 func (d *Dispatcher) recordResult(now time.Time, u *upstreamState, rep AttemptReport) {
-	latency := now.Sub(u.inFlight[rep.Ticket])
+	latency := now.Sub(u.inFlight[rep.TicketID])
 	switch rep.Result {
 	case Responded:
 		u.recordSuccess(now, latency)
@@ -313,7 +313,7 @@
 	u.inFlight[t.ID] = now
 	d.attempts[t.ID] = attempt{ticket: t, upstream: u}
 	timeout := time.Duration(attemptTimeoutFactor * u.latencySeconds * float64(time.Second))
-	return Dispatch{Ticket: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
+	return Dispatch{TicketID: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
 }
 
 // shed returns decisions with the shed of a ticket appended. A shed for want of
@@ -322,7 +322,7 @@
 	if reason != NoUpstream {
 		d.lastShed = now
 	}
-	decisions.Sheds = append(decisions.Sheds, Shed{Ticket: id, Reason: reason})
+	decisions.Sheds = append(decisions.Sheds, Shed{TicketID: id, Reason: reason})
 	return decisions
 }
 
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -33,10 +33,10 @@
 
 func (c *testDispatcher) record(d Decisions) {
 	for _, x := range d.Dispatches {
-		c.sent[x.Ticket] = x.Upstream.Name
+		c.sent[x.TicketID] = x.Upstream.Name
 	}
 	for _, x := range d.Sheds {
-		c.shed[x.Ticket] = x.Reason
+		c.shed[x.TicketID] = x.Reason
 	}
 }
 
@@ -48,7 +48,7 @@
 
 func (c *testDispatcher) finish(id uint64, r AttemptResult) {
 	delete(c.sent, id)
-	c.record(c.FinishAttempt(c.now, AttemptReport{Ticket: id, Result: r}))
+	c.record(c.FinishAttempt(c.now, AttemptReport{TicketID: id, Result: r}))
 }
 
 // inFlightAt returns the number of requests in flight at an upstream.
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -73,7 +73,7 @@
 		}
 		x := r.sendOnce(ctx, c, granted.dispatch)
 		rep := x.report()
-		rep.Ticket = t.ID
+		rep.TicketID = t.ID
 		_, refused := refusalOf(x)
 		if x.response != nil && !refused {
 			return r.resultWithResponse(s, x, rep)
--- a/routing/policy_bench_test.go
+++ b/routing/policy_bench_test.go
@@ -219,13 +219,13 @@
 
 func (s *sim) apply(host int, d Decisions) {
 	for _, x := range d.Sheds {
-		delete(s.requests, x.Ticket)
+		delete(s.requests, x.TicketID)
 	}
 	for _, x := range d.Dispatches {
-		q := s.requests[x.Ticket]
+		q := s.requests[x.TicketID]
 		r := s.byName[x.Upstream.Name]
 		s.sendTo(q, r, func(complete bool) {
-			rep := AttemptReport{Ticket: q.id, Result: Responded}
+			rep := AttemptReport{TicketID: q.id, Result: Responded}
 			if !complete {
 				rep.Result = Failed
 			}
--- a/routing/service_dispatcher.go
+++ b/routing/service_dispatcher.go
@@ -97,7 +97,7 @@
 		return decision{}, ctx.Err()
 	}
 	if result := <-ch; result.shedReason == "" {
-		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
+		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{TicketID: t.ID, Result: Unused}))
 	}
 	return decision{}, ctx.Err()
 }
@@ -137,11 +137,11 @@
 // deliver sends decisions to the requests that wait for them. The caller holds mu.
 func (s *serviceDispatcher) deliver(d Decisions) {
 	for _, x := range d.Dispatches {
-		s.waiters[x.Ticket] <- decision{dispatch: x}
-		delete(s.waiters, x.Ticket)
+		s.waiters[x.TicketID] <- decision{dispatch: x}
+		delete(s.waiters, x.TicketID)
 	}
 	for _, x := range d.Sheds {
-		s.waiters[x.Ticket] <- decision{shedReason: x.Reason}
-		delete(s.waiters, x.Ticket)
+		s.waiters[x.TicketID] <- decision{shedReason: x.Reason}
+		delete(s.waiters, x.TicketID)
 	}
 }
