--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -51,7 +51,8 @@
 	return resp.header.Get(HeaderReason), notRun
 }
 
-// exchange is one attempt at one upstream.
+// exchange is the HTTP exchange of one attempt: the request to one upstream and
+// its response.
 type exchange struct {
 	pool     *pool
 	conn     *conn
@@ -79,27 +80,27 @@
 		return x
 	}
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
-	x.err = x.roundTrip(ctx, req, r.maxConnectionAge(c), r.connectionLimit(d.Upstream), deadline)
+	x.err = x.roundTrip(ctx, req, r.maxIdleTimeFor(c), r.connectionLimit(d.Upstream), deadline)
 	if x.err != nil {
 		span.RecordError(x.err)
 	}
 	return x
 }
 
-// maxConnectionAge returns the maximum time since the last complete response on
-// a connection that is reused for the call. A request that is not idempotent is
+// maxIdleTimeFor returns the maximum time since the last complete response on a
+// connection that is reused for the call. A request that is not idempotent is
 // sent only on a connection that was recently proved alive, or on a new one.
-func (r *Router) maxConnectionAge(c *call) time.Duration {
+func (r *Router) maxIdleTimeFor(c *call) time.Duration {
 	if c.idempotent {
-		return maxIdleAge
+		return maxIdleTime
 	}
-	return freshConnectionAge
+	return maxIdleTimeNonIdempotent
 }
 
 // roundTrip sends the request on an idle or new connection and reads the
 // response.
-func (x *exchange) roundTrip(ctx context.Context, req *http.Request, maxAge time.Duration, connectionLimit int, deadline time.Time) error {
-	if err := x.connect(ctx, req.URL.Host, maxAge, connectionLimit, deadline); err != nil {
+func (x *exchange) roundTrip(ctx context.Context, req *http.Request, maxIdle time.Duration, connectionLimit int, deadline time.Time) error {
+	if err := x.connect(ctx, req.URL.Host, maxIdle, connectionLimit, deadline); err != nil {
 		return err
 	}
 	id := strconv.FormatUint(lastRequestID.Add(1), 36)
@@ -131,8 +132,8 @@
 
 // connect takes an idle connection or dials a new one. The dial goes on when the
 // caller disconnects.
-func (x *exchange) connect(ctx context.Context, address string, maxAge time.Duration, connectionLimit int, deadline time.Time) error {
-	x.conn = x.pool.takeIdle(time.Now(), maxAge)
+func (x *exchange) connect(ctx context.Context, address string, maxIdle time.Duration, connectionLimit int, deadline time.Time) error {
+	x.conn = x.pool.takeIdle(time.Now(), maxIdle)
 	if x.conn != nil {
 		return nil
 	}
@@ -159,11 +160,11 @@
 	if err != nil {
 		return err
 	}
-	a := &response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, body: body, connectionClose: resp.Close}
+	out := &response{status: resp.StatusCode, header: resp.Header, length: resp.ContentLength, body: body, connectionClose: resp.Close}
 	if len(body) == maxBufferedBytes {
-		a.rest = resp.Body
+		out.rest = resp.Body
 	}
-	x.response = a
+	x.response = out
 	return nil
 }
 
@@ -185,6 +186,8 @@
 }
 
 // report classifies the attempt for the dispatcher. It leaves TicketID unset.
+// Connection: close of an upstream that is full is not reported, as the dispatcher
+// would treat the upstream as leaving.
 func (x *exchange) report() AttemptReport {
 	if x.response == nil {
 		return AttemptReport{Result: Failed}
@@ -205,14 +208,14 @@
 // probeUpstream sends OPTIONS * on a new connection. alive reports whether the
 // upstream sent any HTTP response; closing, whether it closes the connection or
 // responded 503.
-func (r *Router) probeUpstream(ctx context.Context, host kvstore.Host) (alive, closing bool) {
+func (r *Router) probeUpstream(ctx context.Context, upstream kvstore.Host) (alive, closing bool) {
 	deadline := time.Now().Add(dialTimeout)
-	c, err := dial(ctx, host.Address)
+	c, err := dial(ctx, upstream.Address)
 	if err != nil {
 		return false, false
 	}
 	defer c.Close()
-	req, err := http.NewRequestWithContext(ctx, http.MethodOptions, "http://"+host.Address, http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodOptions, "http://"+upstream.Address, http.NoBody)
 	if err != nil {
 		return false, false
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -56,7 +56,7 @@
 		b.Run(method, func(b *testing.B) {
 			host, _, _ := startProxiedUpstream(b, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
 			e := startEntryHost(b, newFakeSource(time.Minute, host), nil)
-			direct, via := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
+			direct, forwarded := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
 			var cpu [2]time.Duration
 			for b.Loop() {
 				for i, target := range []string{"http://" + host.Address + "/book", e.url + "/v1/services/loans/requests/book"} {
@@ -64,14 +64,14 @@
 					sendRequest(b, method, target, "")
 					took := time.Since(began).Microseconds()
 					cpu[i] += cpuTime(b) - used
-					_ = []*hdrhistogram.Histogram{direct, via}[i].RecordValue(took)
+					_ = []*hdrhistogram.Histogram{direct, forwarded}[i].RecordValue(took)
 				}
 			}
 			for _, q := range []float64{50, 99} {
-				added := via.ValueAtQuantile(q) - direct.ValueAtQuantile(q)
+				added := forwarded.ValueAtQuantile(q) - direct.ValueAtQuantile(q)
 				b.ReportMetric(float64(added), fmt.Sprintf("added-p%.0f-us", q))
 			}
-			b.ReportMetric(float64((cpu[1]-cpu[0]).Microseconds())/float64(via.TotalCount()), "added-cpu-us/op")
+			b.ReportMetric(float64((cpu[1]-cpu[0]).Microseconds())/float64(forwarded.TotalCount()), "added-cpu-us/op")
 		})
 	}
 }
@@ -174,6 +174,7 @@
 		from, end := time.Now().Add(warmUp), time.Now().Add(length)
 		for c := range callers {
 			wg.Go(func() {
+				// Organisation 0 has 5/8 of the callers, each of the others 1/8.
 				org := min(c*len(organisations)*2/callers/2, 3)
 				if c%2 == 0 {
 					org = 0
--- a/routing/call.go
+++ b/routing/call.go
@@ -110,9 +110,10 @@
 	return path
 }
 
-// forwardHeader returns the header to send to the upstream: the caller's without
-// hop-by-hop fields, the caller's token, and the Cyclamentray- fields, which only
-// entry hosts set.
+// forwardHeader returns the header to send to the upstream: the caller's header
+// with headerOrganisation set. It omits hop-by-hop fields, Authorization (the
+// caller's token), Expect, and the Cyclamentray- fields, which only entry hosts
+// set in requests.
 func forwardHeader(in http.Header, organisation string) http.Header {
 	out := endToEndHeader(in)
 	out.Del("Authorization")
--- a/routing/conn.go
+++ b/routing/conn.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	dialTimeout          = time.Second
-	progressTimeout      = 5 * time.Second // without a byte sent, or received once a response has begun
-	keepAliveIdle        = 5 * time.Second
-	keepAliveInterval    = 2 * time.Second
-	keepAliveCount       = 3
-	maxIdleAge           = 10 * time.Second       // since the last response; then the connection is closed
-	freshConnectionAge   = 100 * time.Millisecond // since a complete response, which proves the connection alive
-	earlyResponseTimeout = 500 * time.Millisecond // for a response after sending failed
-	maxInformational     = 8                      // 1xx responses before the final one
+	dialTimeout              = time.Second
+	progressTimeout          = 5 * time.Second // without a byte sent, or received once a response has begun
+	keepAliveIdle            = 5 * time.Second
+	keepAliveInterval        = 2 * time.Second
+	keepAliveCount           = 3
+	maxIdleTime              = 10 * time.Second       // since the last response; then the connection is closed
+	maxIdleTimeNonIdempotent = 100 * time.Millisecond // since a complete response, which proves the connection alive
+	earlyResponseTimeout     = 500 * time.Millisecond // for a response after sending failed
+	maxInformational         = 8                      // 1xx responses before the final one
 )
 
 // errNoProgress marks a read that timed out: at the attempt's deadline, or after
@@ -195,17 +195,17 @@
 }
 
 // takeIdle returns an idle connection on which nothing has arrived and whose last
-// response is at most maxAge old, or nil. It closes connections that are expired
+// response is at most maxIdle old, or nil. It closes connections that are expired
 // or no longer silent.
-func (p *pool) takeIdle(now time.Time, maxAge time.Duration) *conn {
+func (p *pool) takeIdle(now time.Time, maxIdle time.Duration) *conn {
 	for {
 		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
 		idleFor := now.Sub(c.lastResponse)
-		if idleFor <= maxIdleAge && c.openAndSilent() {
-			if idleFor <= maxAge {
+		if idleFor <= maxIdleTime && c.openAndSilent() {
+			if idleFor <= maxIdle {
 				return c
 			}
 			p.putIdle(c)
@@ -257,14 +257,14 @@
 	p.open--
 }
 
-// closeExpired closes connections that have been idle for longer than maxIdleAge.
+// closeExpired closes connections that have been idle for longer than maxIdleTime.
 // It returns the number of open connections left, including those in use.
 func (p *pool) closeExpired(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Sub(c.lastResponse) <= maxIdleAge {
+		if now.Sub(c.lastResponse) <= maxIdleTime {
 			kept = append(kept, c)
 			continue
 		}
--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -12,7 +12,7 @@
 const (
 	queueLimitPerSlot    = 4           // queued tickets allowed for each slot of this host
 	minQueueLimit        = 32          // queued tickets that are always allowed
-	maxWorkCharge        = 20          // typical requests; most that one request is charged
+	maxWorkCharge        = 20          // most work that one request is charged, in typical requests
 	minLatencySeconds    = 1e-5        // keeps rates finite
 	overloadWindow       = time.Second // the service counts as overloaded for this long after a shed
 	attemptTimeoutFactor = 10          // times the average latency before an idempotent attempt times out
@@ -96,7 +96,7 @@
 	queue     fairQueue
 	budget    retryBudget
 	attempts  map[uint64]attempt // by ticket ID
-	lastShed  time.Time
+	lastShed  time.Time          // of a ticket shed for another reason than NoUpstream
 }
 
 // NewDispatcher returns a dispatcher without upstreams.
@@ -138,20 +138,21 @@
 	return names
 }
 
-// slotShare returns this host's share of an upstream's slots. It is limited by
-// the share of connections too, since each request in flight uses one.
-func slotShare(host kvstore.Host, topology Topology) int {
-	names := topology.sharingHosts(host)
-	share := CapacityShare(host.Slots, host.Name, topology.Self.Name, names)
-	if host.Connections > 0 {
-		share = min(share, CapacityShare(host.Connections, host.Name, topology.Self.Name, names))
+// slotShare returns this entry host's share of an upstream's slots. It is limited
+// by the share of connections too, since each request in flight uses one.
+func slotShare(upstream kvstore.Host, topology Topology) int {
+	names := topology.sharingHosts(upstream)
+	share := CapacityShare(upstream.Slots, upstream.Name, topology.Self.Name, names)
+	if upstream.Connections > 0 {
+		share = min(share, CapacityShare(upstream.Connections, upstream.Name, topology.Self.Name, names))
 	}
 	return share
 }
 
-// Admit reports whether a request would be accepted now, and otherwise why not.
-// It enqueues nothing. Requests with an idempotency key are checked with it
-// before their key is claimed.
+// Admit reports whether a ticket would be accepted now, and otherwise why not: no
+// upstream is usable, or the ticket is expected to reach its queue deadline. It
+// enqueues nothing. Requests with an idempotency key are checked with it before
+// their key is claimed.
 func (d *Dispatcher) Admit(now time.Time, t Ticket) (ShedReason, bool) {
 	if !d.anyUsable() {
 		return NoUpstream, false
@@ -163,6 +164,8 @@
 	if rate == 0 {
 		return "", true
 	}
+	// Organisations are served in equal shares, so for each ticket of this queue one
+	// ticket of every active queue is expected to be served.
 	requestsAhead := float64(len(d.queue.queueOf(t.Organisation).waiting)+1) * float64(max(1, d.queue.activeQueues()))
 	wait := time.Duration(requestsAhead / rate * float64(time.Second))
 	if now.Add(wait).After(t.QueueDeadline) {
@@ -175,7 +178,7 @@
 	return slices.ContainsFunc(d.upstreams.states, (*upstreamState).usable)
 }
 
-// Submit enqueues a request; it is dispatched at once, left waiting, or shed.
+// Submit enqueues a ticket; it is dispatched at once, left waiting, or shed.
 func (d *Dispatcher) Submit(now time.Time, t Ticket) Decisions {
 	var decisions Decisions
 	if reason, ok := d.Admit(now, t); !ok {
@@ -206,7 +209,7 @@
 // when there is none.
 func (d *Dispatcher) AllowRetry() bool { return d.budget.spend() }
 
-// Cancel removes a request from the queue; it reports whether it was still queued.
+// Cancel removes a ticket from the queue; it reports whether it was still queued.
 func (d *Dispatcher) Cancel(id uint64) bool { return d.queue.remove(id) }
 
 // FinishAttempt frees the slot of an attempt and records its result.
@@ -222,8 +225,10 @@
 	return d.dispatchWaiting(now, Decisions{})
 }
 
-// chargedWork returns the work that a request is charged, in typical requests of
-// its upstream, so that it does not depend on the upstream's speed.
+// chargedWork returns the work that a request is charged, in typical requests: its
+// duration divided by the upstream's average latency, so that the charge does not
+// depend on the upstream's speed. The charge is 1 when the upstream has no samples,
+// or when the request got no complete response with a status below 500.
 func chargedWork(now time.Time, u *upstreamState, rep AttemptReport) float64 {
 	if rep.Result != Responded || u.samples == 0 {
 		return 1
@@ -276,11 +281,11 @@
 	return d.dispatchWaiting(now, Decisions{})
 }
 
-// Tick sheds requests that have reached their queue deadline and uses slots that
+// Tick sheds tickets that have reached their queue deadline and uses slots that
 // have become available through the passage of time.
 func (d *Dispatcher) Tick(now time.Time) Decisions { return d.dispatchWaiting(now, Decisions{}) }
 
-// QueueLength returns the number of queued requests.
+// QueueLength returns the number of queued tickets.
 func (d *Dispatcher) QueueLength() int { return d.queue.length }
 
 // dispatchWaiting sheds expired tickets and dispatches queued ones to available
@@ -316,8 +321,8 @@
 	return Dispatch{TicketID: t.ID, Upstream: u.host, AttemptTimeout: max(timeout, minAttemptTimeout)}
 }
 
-// shed returns decisions with the shed of a ticket appended. A shed for want of
-// upstreams is no sign of overload.
+// shed returns decisions with the shed of a ticket appended. A shed for the reason
+// NoUpstream does not count as overload.
 func (d *Dispatcher) shed(now time.Time, decisions Decisions, id uint64, reason ShedReason) Decisions {
 	if reason != NoUpstream {
 		d.lastShed = now
@@ -373,26 +378,26 @@
 
 // waitingIsFaster reports whether waiting for one of the busy faster upstreams is
 // expected to finish sooner than using the candidate, an available upstream that
-// takes candidateSeconds. All queued requests wait for the faster ones, so the
+// takes candidateSeconds. All queued tickets wait for the faster ones, so the
 // longer the queue, the slower an upstream may be and still be worth using.
 func (d *Dispatcher) waitingIsFaster(now time.Time, lowestLatency, candidateSeconds float64) bool {
-	rate, sum, busy := 0.0, 0.0, 0
+	rate, totalSeconds, inFlight := 0.0, 0.0, 0
 	for _, u := range d.upstreams.states {
 		n := len(u.inFlight)
 		if n == 0 || u.samples == 0 || !u.usable() || now.Before(u.blockedUntil) {
 			continue
 		}
-		other := u.expectedSeconds(now, lowestLatency)
-		if other >= candidateSeconds {
+		expected := u.expectedSeconds(now, lowestLatency)
+		if expected >= candidateSeconds {
 			continue
 		}
-		rate += float64(n) / max(other, minLatencySeconds)
-		sum += other * float64(n)
-		busy += n
+		rate += float64(n) / max(expected, minLatencySeconds)
+		totalSeconds += expected * float64(n)
+		inFlight += n
 	}
-	if busy == 0 {
+	if inFlight == 0 {
 		return false
 	}
 	wait := float64(d.queue.length) / rate
-	return wait+sum/float64(busy) < candidateSeconds
+	return wait+totalSeconds/float64(inFlight) < candidateSeconds
 }
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -24,37 +24,37 @@
 	shed map[uint64]ShedReason
 }
 
-func newTestDispatcher(f Topology) *testDispatcher {
-	c := &testDispatcher{Dispatcher: NewDispatcher(rand.New(rand.NewSource(1))), now: start}
-	c.sent, c.shed = make(map[uint64]string), make(map[uint64]ShedReason)
-	c.record(c.UpdateTopology(c.now, f))
-	return c
+func newTestDispatcher(topology Topology) *testDispatcher {
+	d := &testDispatcher{Dispatcher: NewDispatcher(rand.New(rand.NewSource(1))), now: start}
+	d.sent, d.shed = make(map[uint64]string), make(map[uint64]ShedReason)
+	d.record(d.UpdateTopology(d.now, topology))
+	return d
 }
 
-func (c *testDispatcher) record(d Decisions) {
-	for _, x := range d.Dispatches {
-		c.sent[x.TicketID] = x.Upstream.Name
+func (d *testDispatcher) record(decisions Decisions) {
+	for _, x := range decisions.Dispatches {
+		d.sent[x.TicketID] = x.Upstream.Name
 	}
-	for _, x := range d.Sheds {
-		c.shed[x.TicketID] = x.Reason
+	for _, x := range decisions.Sheds {
+		d.shed[x.TicketID] = x.Reason
 	}
 }
 
-func (c *testDispatcher) submit(organisation string, timeout time.Duration) uint64 {
-	c.next++
-	c.record(c.Submit(c.now, Ticket{ID: c.next, Organisation: organisation, QueueDeadline: c.now.Add(timeout), Deadline: c.now.Add(timeout)}))
-	return c.next
+func (d *testDispatcher) submit(organisation string, timeout time.Duration) uint64 {
+	d.next++
+	d.record(d.Submit(d.now, Ticket{ID: d.next, Organisation: organisation, QueueDeadline: d.now.Add(timeout), Deadline: d.now.Add(timeout)}))
+	return d.next
 }
 
-func (c *testDispatcher) finish(id uint64, r AttemptResult) {
-	delete(c.sent, id)
-	c.record(c.FinishAttempt(c.now, AttemptReport{TicketID: id, Result: r}))
+func (d *testDispatcher) finish(id uint64, r AttemptResult) {
+	delete(d.sent, id)
+	d.record(d.FinishAttempt(d.now, AttemptReport{TicketID: id, Result: r}))
 }
 
 // inFlightAt returns the number of requests in flight at an upstream.
-func (c *testDispatcher) inFlightAt(upstream string) int {
+func (d *testDispatcher) inFlightAt(upstream string) int {
 	n := 0
-	for _, u := range c.sent {
+	for _, u := range d.sent {
 		if u == upstream {
 			n++
 		}
@@ -90,77 +90,77 @@
 }
 
 func TestPrefersLocalFailureDomainThenSpillsOver(t *testing.T) {
-	f := topologyOf(upstreamHost("far", "b", 2), upstreamHost("near", "a", 2))
-	c := newTestDispatcher(f)
-	c.submit("x", time.Minute)
-	c.submit("x", time.Minute)
-	must.Eq(t, 2, c.inFlightAt("near"))
-	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.inFlightAt("far"))
-	f.OutOfService = map[string]bool{"a": true}
-	c.finish(1, Responded)
-	c.record(c.UpdateTopology(c.now, f))
-	c.submit("x", time.Minute)
-	must.Eq(t, 2, c.inFlightAt("far"))
-	waits := c.submit("x", time.Minute)
-	must.Eq(t, "", c.sent[waits])
+	topology := topologyOf(upstreamHost("far", "b", 2), upstreamHost("near", "a", 2))
+	d := newTestDispatcher(topology)
+	d.submit("x", time.Minute)
+	d.submit("x", time.Minute)
+	must.Eq(t, 2, d.inFlightAt("near"))
+	d.submit("x", time.Minute)
+	must.Eq(t, 1, d.inFlightAt("far"))
+	topology.OutOfService = map[string]bool{"a": true}
+	d.finish(1, Responded)
+	d.record(d.UpdateTopology(d.now, topology))
+	d.submit("x", time.Minute)
+	must.Eq(t, 2, d.inFlightAt("far"))
+	queued := d.submit("x", time.Minute)
+	must.Eq(t, "", d.sent[queued])
 }
 
 // The share of an upstream's slots grows only after a delay when an entry host
 // leaves, since that host's requests may still be running on the upstream.
 func TestShareGrowsOnlyAfterDelay(t *testing.T) {
-	f := topologyOf(upstreamHost("u", "a", 8))
-	one := f.EntryHosts
-	f.EntryHosts = append(one, kvstore.Host{Name: "e2", FailureDomain: "a"})
-	c := newTestDispatcher(f)
+	topology := topologyOf(upstreamHost("u", "a", 8))
+	one := topology.EntryHosts
+	topology.EntryHosts = append(one, kvstore.Host{Name: "e2", FailureDomain: "a"})
+	d := newTestDispatcher(topology)
 	for range 8 {
-		c.submit("x", time.Minute)
+		d.submit("x", time.Minute)
 	}
-	must.Eq(t, 4, c.inFlightAt("u"))
-	f.EntryHosts = one
-	c.record(c.UpdateTopology(c.now, f))
-	must.Eq(t, 4, c.inFlightAt("u"))
-	c.now = c.now.Add(shareGrowthDelay)
-	c.record(c.Tick(c.now))
-	must.Eq(t, 8, c.inFlightAt("u"))
+	must.Eq(t, 4, d.inFlightAt("u"))
+	topology.EntryHosts = one
+	d.record(d.UpdateTopology(d.now, topology))
+	must.Eq(t, 4, d.inFlightAt("u"))
+	d.now = d.now.Add(shareGrowthDelay)
+	d.record(d.Tick(d.now))
+	must.Eq(t, 8, d.inFlightAt("u"))
 }
 
 // Requests wait for a busy fast upstream rather than use one that is 10 times
 // slower, until the queue is long enough for the slow one to finish sooner.
 func TestSlowUpstreamIsUsedOnlyForLongQueue(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 4), upstreamHost("slow", "a", 4)))
-	c.upstreams.find("fast").recordSuccess(c.now, 10*time.Millisecond)
-	c.upstreams.find("slow").recordSuccess(c.now, 100*time.Millisecond)
+	d := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 4), upstreamHost("slow", "a", 4)))
+	d.upstreams.find("fast").recordSuccess(d.now, 10*time.Millisecond)
+	d.upstreams.find("slow").recordSuccess(d.now, 100*time.Millisecond)
 	for range 8 {
-		c.submit("x", time.Minute)
+		d.submit("x", time.Minute)
 	}
-	must.Eq(t, 4, c.inFlightAt("fast"))
-	must.Eq(t, 0, c.inFlightAt("slow"))
+	must.Eq(t, 4, d.inFlightAt("fast"))
+	must.Eq(t, 0, d.inFlightAt("slow"))
 	for range 30 {
-		c.submit("x", time.Minute)
+		d.submit("x", time.Minute)
 	}
-	must.Positive(t, c.inFlightAt("slow"))
+	must.Positive(t, d.inFlightAt("slow"))
 }
 
 // An organisation whose requests run on the fast upstream must not keep its slot:
 // both organisations get an equal share of it, although one queued first.
 func TestOrganisationsShareWorkEqually(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 1), upstreamHost("slow", "a", 1)))
-	c.upstreams.find("fast").recordSuccess(c.now, 10*time.Millisecond)
-	c.upstreams.find("slow").recordSuccess(c.now, 15*time.Millisecond)
+	d := newTestDispatcher(topologyOf(upstreamHost("fast", "a", 1), upstreamHost("slow", "a", 1)))
+	d.upstreams.find("fast").recordSuccess(d.now, 10*time.Millisecond)
+	d.upstreams.find("slow").recordSuccess(d.now, 15*time.Millisecond)
 	for range 15 {
-		c.submit("first", time.Minute)
+		d.submit("first", time.Minute)
 	}
 	for range 15 {
-		c.submit("second", time.Minute)
+		d.submit("second", time.Minute)
 	}
-	waiting := func(organisation string) int { return len(c.queue.queueOf(organisation).waiting) }
+	waiting := func(organisation string) int { return len(d.queue.queueOf(organisation).waiting) }
 	first, second := waiting("first"), waiting("second")
 	for range 20 {
-		for id, u := range c.sent {
+		for id, u := range d.sent {
 			if u == "fast" {
-				c.now = c.now.Add(10 * time.Millisecond)
-				c.finish(id, Responded)
+				d.now = d.now.Add(10 * time.Millisecond)
+				d.finish(id, Responded)
 				break
 			}
 		}
@@ -170,38 +170,38 @@
 }
 
 func TestFullQueueShedsFromLongestOrganisationQueue(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
+	d := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
 	for range minQueueLimit + 1 {
-		c.submit("large", time.Hour)
+		d.submit("large", time.Hour)
 	}
-	must.MapEmpty(t, c.shed)
-	small := c.submit("small", time.Hour)
-	must.MapLen(t, 1, c.shed)
-	must.MapNotContainsKey(t, c.shed, small)
+	must.MapEmpty(t, d.shed)
+	small := d.submit("small", time.Hour)
+	must.MapLen(t, 1, d.shed)
+	must.MapNotContainsKey(t, d.shed, small)
 }
 
 func TestRequestThatCannotStartInTimeIsShedOnSubmit(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
-	c.upstreams.find("u").recordSuccess(c.now, time.Second)
-	c.submit("x", time.Minute)
-	c.submit("x", time.Minute)
-	late := c.submit("x", 500*time.Millisecond)
-	must.Eq(t, TooLate, c.shed[late])
-	must.Eq(t, 1, c.queue.length)
+	d := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
+	d.upstreams.find("u").recordSuccess(d.now, time.Second)
+	d.submit("x", time.Minute)
+	d.submit("x", time.Minute)
+	late := d.submit("x", 500*time.Millisecond)
+	must.Eq(t, TooLate, d.shed[late])
+	must.Eq(t, 1, d.queue.length)
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
+	d := newTestDispatcher(topologyOf(upstreamHost("u", "a", 1)))
 	retries := 0
-	for c.AllowRetry() {
+	for d.AllowRetry() {
 		retries++
 	}
 	must.Eq(t, maxRetryTokens, retries)
 	for range 100 {
-		c.finish(c.submit("x", time.Minute), Responded)
+		d.finish(d.submit("x", time.Minute), Responded)
 	}
 	retries = 0
-	for c.AllowRetry() {
+	for d.AllowRetry() {
 		retries++
 	}
 	must.Between(t, 19, retries, 20)
@@ -210,56 +210,56 @@
 // A failed upstream gets no request until a probe succeeds, and then one at a time
 // until a request succeeds.
 func TestFailedUpstreamRecoversThroughProbe(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("bad", "a", 4), upstreamHost("good", "b", 4)))
-	c.finish(c.submit("x", time.Minute), Failed)
-	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.inFlightAt("good"))
-	must.SliceEmpty(t, c.StartProbes(c.now))
-	c.now = c.now.Add(firstBackoff)
-	must.Len(t, 1, c.StartProbes(c.now))
-	must.SliceEmpty(t, c.StartProbes(c.now))
-	c.record(c.FinishProbe(c.now, "bad", true, false))
-	trial := c.submit("x", time.Minute)
-	c.submit("x", time.Minute)
-	must.Eq(t, 1, c.inFlightAt("bad"))
-	c.finish(trial, Responded)
-	c.submit("x", time.Minute)
-	c.submit("x", time.Minute)
-	must.Greater(t, 1, c.inFlightAt("bad"))
+	d := newTestDispatcher(topologyOf(upstreamHost("bad", "a", 4), upstreamHost("good", "b", 4)))
+	d.finish(d.submit("x", time.Minute), Failed)
+	d.submit("x", time.Minute)
+	must.Eq(t, 1, d.inFlightAt("good"))
+	must.SliceEmpty(t, d.StartProbes(d.now))
+	d.now = d.now.Add(firstBackoff)
+	must.Len(t, 1, d.StartProbes(d.now))
+	must.SliceEmpty(t, d.StartProbes(d.now))
+	d.record(d.FinishProbe(d.now, "bad", true, false))
+	trial := d.submit("x", time.Minute)
+	d.submit("x", time.Minute)
+	must.Eq(t, 1, d.inFlightAt("bad"))
+	d.finish(trial, Responded)
+	d.submit("x", time.Minute)
+	d.submit("x", time.Minute)
+	must.Greater(t, 1, d.inFlightAt("bad"))
 }
 
 // A leaving upstream is used again once a probe has failed and a later one has
 // succeeded, as after a restart.
 func TestLeavingUpstreamIsUsedAgainAfterRestart(t *testing.T) {
-	c := newTestDispatcher(topologyOf(upstreamHost("u", "a", 4)))
-	c.finish(c.submit("x", time.Minute), Leaving)
+	d := newTestDispatcher(topologyOf(upstreamHost("u", "a", 4)))
+	d.finish(d.submit("x", time.Minute), Leaving)
 	for _, alive := range []bool{true, false, true} {
-		waits := c.submit("x", time.Minute)
-		must.Eq(t, "", c.sent[waits])
-		c.now = c.now.Add(probeInterval)
-		must.Len(t, 1, c.StartProbes(c.now))
-		c.record(c.FinishProbe(c.now, "u", alive, false))
+		queued := d.submit("x", time.Minute)
+		must.Eq(t, "", d.sent[queued])
+		d.now = d.now.Add(probeInterval)
+		must.Len(t, 1, d.StartProbes(d.now))
+		d.record(d.FinishProbe(d.now, "u", alive, false))
 	}
-	must.Eq(t, 1, c.inFlightAt("u"))
+	must.Eq(t, 1, d.inFlightAt("u"))
 }
 
 // The dispatcher depends neither on the clock nor on the order of maps: the same
 // calls at the same times, with the same random source, give the same decisions.
 func TestDecisionsAreDeterministic(t *testing.T) {
 	simulate := func() (map[uint64]string, map[uint64]ShedReason) {
-		c := newTestDispatcher(topologyOf(upstreamHost("u1", "a", 2), upstreamHost("u2", "a", 2), upstreamHost("u3", "b", 2)))
+		d := newTestDispatcher(topologyOf(upstreamHost("u1", "a", 2), upstreamHost("u2", "a", 2), upstreamHost("u3", "b", 2)))
 		random := rand.New(rand.NewSource(7))
 		for range 500 {
-			c.now = c.now.Add(time.Duration(random.Intn(20)) * time.Millisecond)
-			c.submit(fmt.Sprint("organisation-", random.Intn(3)), 50*time.Millisecond)
+			d.now = d.now.Add(time.Duration(random.Intn(20)) * time.Millisecond)
+			d.submit(fmt.Sprint("organisation-", random.Intn(3)), 50*time.Millisecond)
 			for id := range uint64(500) {
-				if _, sent := c.sent[id]; sent && random.Intn(3) == 0 {
-					c.finish(id, Responded)
+				if _, sent := d.sent[id]; sent && random.Intn(3) == 0 {
+					d.finish(id, Responded)
 					break
 				}
 			}
 		}
-		return c.sent, c.shed
+		return d.sent, d.shed
 	}
 	sent, shed := simulate()
 	again, shedAgain := simulate()
--- a/routing/execute.go
+++ b/routing/execute.go
@@ -11,9 +11,10 @@
 	queueTimeoutDivisor = 2 // a ticket waits at most 1/queueTimeoutDivisor of the time left to its request
 )
 
-// callResult is the outcome of a call: a response or an error. When response is
-// set and has a rest, its exchange is still open, and finish must be called once
-// the response has been forwarded; complete tells whether all of it was.
+// callResult is the outcome of a call: a response or an error. While part of the
+// response's body is unread (response.rest is set), the exchange is still open,
+// and finish must be called once the response has been forwarded; complete tells
+// whether all of it was.
 type callResult struct {
 	outcome  Outcome
 	response *response
@@ -64,14 +65,14 @@
 	for attempts := 1; ; attempts++ {
 		t := r.newTicket(c)
 		t.AvoidUpstreams, t.Retry = avoid, attempts > 1
-		granted, err := s.acquireSlot(ctx, r.opts.Now, t)
+		decided, err := s.acquireSlot(ctx, r.opts.Now, t)
 		if err != nil {
 			return failedResult(outcome, apierr.New(apierr.Unavailable, "the caller disconnected", ""))
 		}
-		if granted.shedReason != "" {
-			return r.resultWithoutResponse(outcome, errShed(granted.shedReason))
+		if decided.shedReason != "" {
+			return r.resultWithoutResponse(outcome, errShed(decided.shedReason))
 		}
-		x := r.sendOnce(ctx, c, granted.dispatch)
+		x := r.sendOnce(ctx, c, decided.dispatch)
 		rep := x.report()
 		rep.TicketID = t.ID
 		_, refused := refusalOf(x)
@@ -89,7 +90,7 @@
 			return r.resultWithoutResponse(outcome, errUnreachable())
 		}
 		r.metrics.retries.Inc()
-		avoid = append(avoid, granted.dispatch.Upstream.Name)
+		avoid = append(avoid, decided.dispatch.Upstream.Name)
 	}
 }
 
@@ -102,7 +103,7 @@
 }
 
 // resultWithoutResponse returns err as the result, or errUnknown when the outcome
-// is Unknown.
+// is Unknown, since err would state that the request was not run.
 func (r *Router) resultWithoutResponse(outcome Outcome, err *apierr.Error) callResult {
 	if outcome == Unknown {
 		err = errUnknown()
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -116,7 +116,7 @@
 	status    int
 	outcome   routing.Outcome
 	body      string
-	truncated bool // the body ended before its announced end
+	truncated bool // the body could not be read to its end
 }
 
 func (e *entryHost) send(t testing.TB, method, organisation, key string) reply {
--- a/routing/keyed.go
+++ b/routing/keyed.go
@@ -108,14 +108,14 @@
 // completeClaim records the outcome of an attempt in the background, as the
 // response to the caller does not depend on it: when the record is lost, the
 // outcome of the key is unknown.
-func (r *Router) completeClaim(ctx context.Context, done claims.Completion) {
+func (r *Router) completeClaim(ctx context.Context, completion claims.Completion) {
 	r.inFlight.Add(1)
 	go func() {
 		defer r.inFlight.Add(-1)
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), completeTimeout)
 		defer cancel()
-		if err := r.opts.Claims.Complete(ctx, done); err != nil {
-			r.opts.Logger.Warn("Failed to record the outcome of an idempotency key", "service", done.Key.Service, "err", err)
+		if err := r.opts.Claims.Complete(ctx, completion); err != nil {
+			r.opts.Logger.Warn("Failed to record the outcome of an idempotency key", "service", completion.Key.Service, "err", err)
 		}
 	}()
 }
@@ -123,16 +123,16 @@
 // executeClaimed executes a call whose key was granted and records the outcome.
 func (r *Router) executeClaimed(ctx context.Context, s *serviceDispatcher, c *call, req claims.Request) callResult {
 	res := r.execute(ctx, s, c)
-	done := claims.Completion{Key: req.Key, Attempt: req.Attempt}
+	completion := claims.Completion{Key: req.Key, Attempt: req.Attempt}
 	switch {
 	case res.outcome == NotRun:
-		done.NotRun = true
+		completion.NotRun = true
 	case res.outcome == Unknown:
-		done.Unknown = true
+		completion.Unknown = true
 	default:
-		done.Answer = recordedAnswer(res.response)
+		completion.Answer = recordedAnswer(res.response)
 	}
-	r.completeClaim(ctx, done)
+	r.completeClaim(ctx, completion)
 	return res
 }
 
--- a/routing/keyed_test.go
+++ b/routing/keyed_test.go
@@ -25,14 +25,14 @@
 // keyedEntryHost is an entry host that accepts idempotency keys.
 type keyedEntryHost struct {
 	*entryHost
-	store *faultproxy.Proxy // between the host and the platform
-	peers *peer.Server
-	claim *claims.Service
-	stop  func()
+	storeProxy *faultproxy.Proxy // between the host and the platform
+	peers      *peer.Server
+	claims     *claims.Service
+	stop       func()
 }
 
 // startKeyedEntryHosts starts n entry hosts that share a platform and upstreams.
-func startKeyedEntryHosts(t testing.TB, store *kv.Server, n int, interval time.Duration, upstreams ...kvstore.Host) []*keyedEntryHost {
+func startKeyedEntryHosts(t testing.TB, store *kv.Server, n int, commitInterval time.Duration, upstreams ...kvstore.Host) []*keyedEntryHost {
 	server := httptest.NewServer(store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -51,12 +51,12 @@
 	var out []*keyedEntryHost
 	for i := range n {
 		self := hosts[len(upstreams)+i]
-		out = append(out, startKeyedEntryHost(t, server.Listener.Addr().String(), listeners[i], self, hosts, interval))
+		out = append(out, startKeyedEntryHost(t, server.Listener.Addr().String(), listeners[i], self, hosts, commitInterval))
 	}
 	return out
 }
 
-func startKeyedEntryHost(t testing.TB, store string, l net.Listener, self kvstore.Host, hosts []kvstore.Host, interval time.Duration) *keyedEntryHost {
+func startKeyedEntryHost(t testing.TB, store string, l net.Listener, self kvstore.Host, hosts []kvstore.Host, commitInterval time.Duration) *keyedEntryHost {
 	proxy, err := faultproxy.New(store)
 	must.NoError(t, err)
 	s := newFakeSource(5*time.Second, hosts...)
@@ -65,7 +65,7 @@
 	service := claims.New(claims.Options{
 		Store:      kvstore.NewClient("http://" + proxy.Addr()),
 		Peers:      pool,
-		Membership: s, LeaseTTL: 500 * time.Millisecond, CommitInterval: interval,
+		Membership: s, LeaseTTL: 500 * time.Millisecond, CommitInterval: commitInterval,
 	})
 	peers := peer.NewServer(peer.Options{})
 	must.NoError(t, service.RegisterPeer(peers))
@@ -83,7 +83,7 @@
 		_ = peers.Close()
 		_ = pool.Close()
 	})
-	return &keyedEntryHost{entryHost: startEntryHost(t, s, service), store: proxy, peers: peers, claim: service, stop: stop}
+	return &keyedEntryHost{entryHost: startEntryHost(t, s, service), storeProxy: proxy, peers: peers, claims: service, stop: stop}
 }
 
 // Each key is sent to all entry hosts at once, twice to each, while an upstream's
@@ -92,7 +92,7 @@
 // reported as "not run" in all responses must not have run.
 func TestKeyRunsAtMostOnceAcrossEntryHosts(t *testing.T) {
 	host, u, cuttingProxy := startProxiedUpstream(t, upstream.Options{Name: "u1", Work: 2 * time.Millisecond})
-	other, v, _ := startProxiedUpstream(t, upstream.Options{Name: "u2", Work: 2 * time.Millisecond})
+	other, otherUpstream, _ := startProxiedUpstream(t, upstream.Options{Name: "u2", Work: 2 * time.Millisecond})
 	entries := startKeyedEntryHosts(t, kv.New(), 3, 5*time.Millisecond, host, other)
 	must.Eq(t, routing.Ran, entries[0].send(t, "POST", "acme", "warm-up").outcome)
 	var callers sync.WaitGroup
@@ -107,12 +107,12 @@
 			cuttingProxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
 		case 25: // responses of the platform to host 0 are lost
 			cuttingProxy.Heal()
-			entries[0].store.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
-			entries[0].store.CutOpen()
+			entries[0].storeProxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
+			entries[0].storeProxy.CutOpen()
 		case 40: // host 1 is isolated from the platform and from its peers, as if killed
-			entries[0].store.Heal()
-			entries[1].store.Refuse(true)
-			entries[1].store.CutOpen()
+			entries[0].storeProxy.Heal()
+			entries[1].storeProxy.Refuse(true)
+			entries[1].storeProxy.CutOpen()
 			must.NoError(t, entries[1].peers.Close())
 		}
 		var tries sync.WaitGroup
@@ -134,7 +134,7 @@
 	}
 	callers.Wait()
 	executions := u.Executions()
-	for key, n := range v.Executions() {
+	for key, n := range otherUpstream.Executions() {
 		executions[key] += n
 	}
 	must.Greater(t, keys/2, len(ran))
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -17,7 +17,7 @@
 	set.GetOrCreateGauge("cyclamentray_routing_in_flight", func() float64 { return float64(r.inFlight.Load()) })
 	set.GetOrCreateGauge("cyclamentray_routing_waiting", func() float64 {
 		n := 0
-		for _, s := range r.allServices() {
+		for _, s := range r.allDispatchers() {
 			n += s.queueLength()
 		}
 		return float64(n)
--- a/routing/policy_bench_test.go
+++ b/routing/policy_bench_test.go
@@ -72,12 +72,12 @@
 
 // simUpstream is a simulated upstream.
 type simUpstream struct {
-	host    kvstore.Host
-	speed   float64
-	busy    int
-	waiting []func() // starts the requests that exceed the slots
-	lost    bool
-	losses  int // number of outages so far
+	host        kvstore.Host
+	speed       float64
+	busy        int      // slots in use
+	waiting     []func() // starts the requests that exceed the slots
+	unreachable bool
+	outages     int // number of outages so far
 }
 
 // sim is the simulation of one policy.
@@ -99,7 +99,7 @@
 	work         []time.Duration // finished before the deadline, by organisation
 	measureFrom  time.Time
 	measuredWork time.Duration // finished before the deadline since measureFrom
-	peak         int
+	peak         int           // most requests at one upstream, running or waiting
 }
 
 func newSim(useDispatcher bool, seed int64) *sim {
@@ -109,9 +109,9 @@
 	for i := range benchUpstreams {
 		name := fmt.Sprintf("u%02d", i)
 		host := kvstore.Host{Name: name, Address: name, FailureDomain: fmt.Sprint("d", i%benchDomains), Slots: benchSlotsPerUpstream, Connections: 60}
-		r := &simUpstream{host: host, speed: math.Pow(benchSpeedRatio, float64(i)/(benchUpstreams-1))}
-		s.upstreams = append(s.upstreams, r)
-		s.byName[name] = r
+		u := &simUpstream{host: host, speed: math.Pow(benchSpeedRatio, float64(i)/(benchUpstreams-1))}
+		s.upstreams = append(s.upstreams, u)
+		s.byName[name] = u
 		s.topology.Upstreams = append(s.topology.Upstreams, host)
 	}
 	s.lastRoundRobin = make([]int, benchEntryHosts)
@@ -131,10 +131,10 @@
 // update tells every entry host whether failure domain d0 is out of service.
 func (s *sim) update(out bool) {
 	s.out = out
-	for i, c := range s.dispatchers {
-		f := s.topology
-		f.Self, f.OutOfService = f.EntryHosts[i], map[string]bool{"d0": out}
-		s.apply(i, c.UpdateTopology(s.now, f))
+	for i, d := range s.dispatchers {
+		topology := s.topology
+		topology.Self, topology.OutOfService = topology.EntryHosts[i], map[string]bool{"d0": out}
+		s.apply(i, d.UpdateTopology(s.now, topology))
 	}
 }
 
@@ -148,9 +148,9 @@
 // slowest one, without those in the given failure domain.
 func (s *sim) capacity(without string) float64 {
 	total := 0.0
-	for _, r := range s.upstreams {
-		if r.host.FailureDomain != without {
-			total += benchSlotsPerUpstream * r.speed
+	for _, u := range s.upstreams {
+		if u.host.FailureDomain != without {
+			total += benchSlotsPerUpstream * u.speed
 		}
 	}
 	return total
@@ -171,7 +171,7 @@
 		var tick func()
 		tick = func() {
 			for _, h := range s.dispatchers[i].StartProbes(s.now) {
-				s.apply(i, s.dispatchers[i].FinishProbe(s.now, h.Name, !s.byName[h.Name].lost, false))
+				s.apply(i, s.dispatchers[i].FinishProbe(s.now, h.Name, !s.byName[h.Name].unreachable, false))
 			}
 			s.apply(i, s.dispatchers[i].Tick(s.now))
 			s.after(20*time.Millisecond, tick)
@@ -210,9 +210,9 @@
 func (s *sim) roundRobin(host int) *simUpstream {
 	for {
 		s.lastRoundRobin[host]++
-		r := s.upstreams[s.lastRoundRobin[host]%len(s.upstreams)]
-		if !s.out || r.host.FailureDomain != "d0" {
-			return r
+		u := s.upstreams[s.lastRoundRobin[host]%len(s.upstreams)]
+		if !s.out || u.host.FailureDomain != "d0" {
+			return u
 		}
 	}
 }
@@ -223,8 +223,8 @@
 	}
 	for _, x := range d.Dispatches {
 		q := s.requests[x.TicketID]
-		r := s.byName[x.Upstream.Name]
-		s.sendTo(q, r, func(complete bool) {
+		u := s.byName[x.Upstream.Name]
+		s.sendTo(q, u, func(complete bool) {
 			rep := AttemptReport{TicketID: q.id, Result: Responded}
 			if !complete {
 				rep.Result = Failed
@@ -240,40 +240,40 @@
 
 // sendTo starts a request at an upstream, or enqueues it there when all slots are
 // busy. onEnd is called at the end of the attempt.
-func (s *sim) sendTo(q *simRequest, r *simUpstream, onEnd func(complete bool)) {
+func (s *sim) sendTo(q *simRequest, u *simUpstream, onEnd func(complete bool)) {
 	q.attempts++
 	begin := func() {
-		losses := r.losses
-		took := time.Duration(float64(q.work) / r.speed)
-		if r.host.FailureDomain != s.topology.EntryHosts[q.host].FailureDomain {
+		outages := u.outages
+		took := time.Duration(float64(q.work) / u.speed)
+		if u.host.FailureDomain != s.topology.EntryHosts[q.host].FailureDomain {
 			took += remoteRoundTrip
 		}
 		s.after(took, func() {
-			if r.losses != losses {
+			if u.outages != outages {
 				onEnd(false)
 				return
 			}
-			r.busy--
+			u.busy--
 			s.finish(q)
 			onEnd(true)
-			if len(r.waiting) > 0 {
-				next := r.waiting[0]
-				r.waiting = r.waiting[1:]
-				r.busy++
+			if len(u.waiting) > 0 {
+				next := u.waiting[0]
+				u.waiting = u.waiting[1:]
+				u.busy++
 				next()
 			}
 		})
 	}
 	switch {
-	case r.lost:
+	case u.unreachable:
 		s.after(benchConnectionResetDelay, func() { onEnd(false) })
-	case r.busy < benchSlotsPerUpstream:
-		r.busy++
+	case u.busy < benchSlotsPerUpstream:
+		u.busy++
 		begin()
 	default:
-		r.waiting = append(r.waiting, begin)
+		u.waiting = append(u.waiting, begin)
 	}
-	s.peak = max(s.peak, r.busy+len(r.waiting))
+	s.peak = max(s.peak, u.busy+len(u.waiting))
 }
 
 // finish records the latency and work of a finished request.
@@ -295,11 +295,11 @@
 // among the organisations, and the peak load on an upstream.
 func (s *sim) report(b *testing.B, ideal float64) {
 	slices.Sort(s.latencies)
-	at := func(q float64) float64 {
+	quantileMillis := func(q float64) float64 {
 		return float64(s.latencies[int(q*float64(len(s.latencies)-1))]) / float64(time.Millisecond)
 	}
-	b.ReportMetric(at(0.5), "p50-ms")
-	b.ReportMetric(at(0.99), "p99-ms")
+	b.ReportMetric(quantileMillis(0.5), "p50-ms")
+	b.ReportMetric(quantileMillis(0.99), "p99-ms")
 	b.ReportMetric(s.measuredWork.Seconds()/ideal, "work/ideal")
 	b.ReportMetric(slices.Min(s.work).Seconds()/slices.Max(s.work).Seconds(), "fairness")
 	b.ReportMetric(float64(s.peak), "peak-on-a-runner")
@@ -328,26 +328,26 @@
 // host has the configuration that takes them out.
 func BenchmarkFailureDomain(b *testing.B) {
 	const (
-		load  = 0.9
-		leave = 3 * time.Second
-		back  = 9 * time.Second
+		load        = 0.9
+		absentFrom  = 3 * time.Second
+		absentUntil = 9 * time.Second
 	)
 	for _, lost := range []bool{false, true} {
 		for _, policy := range []string{"core", "round-robin"} {
 			b.Run(fmt.Sprintf("lost=%v/%s", lost, policy), func(b *testing.B) {
 				for range b.N {
 					s := newSim(policy == "core", 1)
-					s.after(leave, func() { s.startOutage(lost) })
-					s.after(leave+benchUpdateDelay, func() { s.update(true) })
-					s.after(back, func() { s.endOutage() })
-					s.after(back+benchUpdateDelay, func() { s.update(false) })
+					s.after(absentFrom, func() { s.startOutage(lost) })
+					s.after(absentFrom+benchUpdateDelay, func() { s.update(true) })
+					s.after(absentUntil, func() { s.endOutage() })
+					s.after(absentUntil+benchUpdateDelay, func() { s.update(false) })
 					s.run(load)
-					away := back - leave
+					absentFor := absentUntil - absentFrom
 					if lost {
-						away += benchUpdateDelay
+						absentFor += benchUpdateDelay
 					}
-					absent := min(load*s.capacity(""), s.capacity("d0")) * away.Seconds()
-					present := load * s.capacity("") * (benchLength - benchWarmUp - away).Seconds()
+					absent := min(load*s.capacity(""), s.capacity("d0")) * absentFor.Seconds()
+					present := load * s.capacity("") * (benchLength - benchWarmUp - absentFor).Seconds()
 					s.report(b, absent+present)
 				}
 			})
@@ -358,15 +358,15 @@
 // startOutage makes the upstreams of d0 unreachable and drops their requests, if
 // lost is set; otherwise it does nothing.
 func (s *sim) startOutage(lost bool) {
-	for _, r := range s.upstreams {
-		if r.host.FailureDomain == "d0" && lost {
-			r.lost, r.losses, r.busy, r.waiting = true, r.losses+1, 0, nil
+	for _, u := range s.upstreams {
+		if u.host.FailureDomain == "d0" && lost {
+			u.unreachable, u.outages, u.busy, u.waiting = true, u.outages+1, 0, nil
 		}
 	}
 }
 
 func (s *sim) endOutage() {
-	for _, r := range s.upstreams {
-		r.lost = false
+	for _, u := range s.upstreams {
+		u.unreachable = false
 	}
 }
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -22,7 +22,7 @@
 	organisation string
 	waiting      []*Ticket // next to be dispatched first
 	inFlight     int
-	work         float64 // charged for finished and running requests, in typical requests
+	work         float64 // charged for finished and running requests, in typical requests (see chargedWork)
 	lastDispatch uint64  // value of fairQueue.dispatches at its last dispatch
 }
 
@@ -96,7 +96,9 @@
 	return least
 }
 
-// servedBefore orders queues by work; equal ones by the earlier last dispatch.
+// servedBefore reports whether a is served before b: the organisation that was
+// charged less work goes first and, at equal work, the one whose last dispatch is
+// earlier.
 func servedBefore(a, b *organisationQueue) bool {
 	if a.work != b.work {
 		return a.work < b.work
--- a/routing/router.go
+++ b/routing/router.go
@@ -49,13 +49,13 @@
 	opts         Options
 	metrics      *routerMetrics
 	lastTicketID atomic.Uint64
-	inFlight     atomic.Int64
+	inFlight     atomic.Int64 // requests being served, and outcomes of idempotency keys being recorded
 	bodyBytes    atomic.Int64 // reserved for the request bodies held in memory
 	draining     atomic.Bool
 
-	mu       sync.Mutex
-	services map[string]*serviceDispatcher
-	pools    map[string]*pool // by address
+	mu          sync.Mutex
+	dispatchers map[string]*serviceDispatcher
+	pools       map[string]*pool // by address
 }
 
 // New returns a router. While Run is not running, queued requests do not time
@@ -68,7 +68,7 @@
 	}
 	o.Logger = defaults.Logger(o.Logger)
 	o.Metrics = defaults.Metrics(o.Metrics)
-	r := &Router{opts: o, services: make(map[string]*serviceDispatcher), pools: make(map[string]*pool)}
+	r := &Router{opts: o, dispatchers: make(map[string]*serviceDispatcher), pools: make(map[string]*pool)}
 	r.metrics = newRouterMetrics(o.Metrics, r)
 	return r
 }
@@ -109,68 +109,68 @@
 
 // tick refreshes and ticks every service and starts the probes that are due.
 func (r *Router) tick(ctx context.Context, now time.Time, probes *sync.WaitGroup) {
-	for _, s := range r.allServices() {
-		r.refreshService(s)
-		for _, host := range s.tick(now) {
+	for _, s := range r.allDispatchers() {
+		r.refreshDispatcher(s)
+		for _, upstream := range s.tick(now) {
 			probes.Add(1)
 			go func() {
 				defer probes.Done()
-				alive, closing := r.probeUpstream(ctx, host)
-				s.finishProbe(r.opts.Now(), host.Name, alive, closing)
+				alive, closing := r.probeUpstream(ctx, upstream)
+				s.finishProbe(r.opts.Now(), upstream.Name, alive, closing)
 			}()
 		}
 	}
 }
 
-func (r *Router) refreshService(s *serviceDispatcher) {
+func (r *Router) refreshDispatcher(s *serviceDispatcher) {
 	snap, _ := r.opts.Config.Current()
 	s.refresh(r.opts.Now(), r.opts.Membership.View(), snap)
 }
 
-func (r *Router) allServices() []*serviceDispatcher {
+func (r *Router) allDispatchers() []*serviceDispatcher {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]*serviceDispatcher, 0, len(r.services))
-	for _, s := range r.services {
+	out := make([]*serviceDispatcher, 0, len(r.dispatchers))
+	for _, s := range r.dispatchers {
 		out = append(out, s)
 	}
 	return out
 }
 
-// serviceFor returns the dispatcher of the named service, refreshed with the
+// dispatcherFor returns the dispatcher of the named service, refreshed with the
 // current membership and configuration. It creates one on first use.
-func (r *Router) serviceFor(name string) *serviceDispatcher {
+func (r *Router) dispatcherFor(name string) *serviceDispatcher {
 	r.mu.Lock()
-	s := r.services[name]
+	s := r.dispatchers[name]
 	if s == nil {
-		s = newServiceDispatcher(name, r.opts.Seed+int64(len(r.services)))
-		r.services[name] = s
+		s = newServiceDispatcher(name, r.opts.Seed+int64(len(r.dispatchers)))
+		r.dispatchers[name] = s
 	}
 	r.mu.Unlock()
-	r.refreshService(s)
+	r.refreshDispatcher(s)
 	return s
 }
 
-func (r *Router) poolFor(host kvstore.Host) *pool {
+func (r *Router) poolFor(upstream kvstore.Host) *pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.pools[host.Address]
+	p := r.pools[upstream.Address]
 	if p == nil {
 		p = &pool{}
-		r.pools[host.Address] = p
+		r.pools[upstream.Address] = p
 	}
 	return p
 }
 
-// connectionLimit returns this host's share of an upstream's connection limit;
-// 0 is treated as no limit.
-func (r *Router) connectionLimit(host kvstore.Host) int {
-	if host.Connections == 0 {
+// connectionLimit returns this entry host's share of an upstream's connection
+// limit; 0 is treated as no limit.
+func (r *Router) connectionLimit(upstream kvstore.Host) int {
+	if upstream.Connections == 0 {
 		return 0
 	}
 	view := r.opts.Membership.View()
 	topology := Topology{EntryHosts: entryHosts(view), Silent: view.Silent}
-	return CapacityShare(host.Connections, host.Name, view.Self.Name, topology.sharingHosts(host))
+	return CapacityShare(upstream.Connections, upstream.Name, view.Self.Name, topology.sharingHosts(upstream))
 }
 
 // trimPools closes expired idle connections and drops the empty pools of
@@ -179,12 +179,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	listed := make(map[string]bool)
+	memberAddresses := make(map[string]bool)
 	for _, h := range r.opts.Membership.View().Hosts {
-		listed[h.Address] = true
+		memberAddresses[h.Address] = true
 	}
 	for address, p := range r.pools {
-		if p.closeExpired(now) == 0 && !listed[address] {
+		if p.closeExpired(now) == 0 && !memberAddresses[address] {
 			delete(r.pools, address)
 		}
 	}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -48,13 +48,13 @@
 
 // An idle connection that the upstream's side has closed or lost must not
 // make a non-idempotent request fail or run twice.
-func TestNonIdempotentNotSentOnFrozenConnection(t *testing.T) {
+func TestNonIdempotentRequestNotSentOnFrozenConnection(t *testing.T) {
 	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
 	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
 	must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	proxy.FreezeOpen(faultproxy.Up)
 	proxy.FreezeOpen(faultproxy.Down)
-	time.Sleep(150 * time.Millisecond) // exceeds freshConnectionAge, so the idle connection no longer counts as proved alive
+	time.Sleep(150 * time.Millisecond) // exceeds maxIdleTimeNonIdempotent, so the idle connection no longer counts as proved alive
 	must.Eq(t, routing.Ran, e.send(t, "POST", "acme", "").outcome)
 	must.Eq(t, int64(2), u.Executed())
 }
@@ -74,10 +74,11 @@
 
 func TestConnectionCutBeforeResponseIsUnknownAndNotRetried(t *testing.T) {
 	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
-	other, v, _ := startProxiedUpstream(t, upstream.Options{Name: "u2"})
+	other, otherUpstream, _ := startProxiedUpstream(t, upstream.Options{Name: "u2"})
 	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
 	proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
 	e.source.setHosts(host, other)
+	// Sends requests until u1 has executed one; its response is cut.
 	for i := 0; u.Executed() == 0; i++ {
 		must.Less(t, 50, i)
 		got := e.send(t, "POST", "acme", "")
@@ -86,10 +87,10 @@
 			must.Eq(t, http.StatusGatewayTimeout, got.status)
 		}
 	}
-	before := v.Executed()
+	before := otherUpstream.Executed()
 	must.Eq(t, int64(1), u.Executed())
 	must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
-	must.Eq(t, before+1, v.Executed())
+	must.Eq(t, before+1, otherUpstream.Executed())
 }
 
 // A small response that is cut at any byte gives the outcome "unknown", and the
@@ -177,10 +178,10 @@
 	waitFor(t, "u1 has executed more than 20 requests", func() bool { return u.Executed() > 20 })
 	u.Leave()
 	time.Sleep(time.Second)
-	seen := u.Refused()
-	must.Less(t, 8, seen)
+	refused := u.Refused()
+	must.Less(t, 8, refused)
 	time.Sleep(2 * time.Second)
-	must.Eq(t, seen, u.Refused())
+	must.Eq(t, refused, u.Refused())
 	for outcome, n := range stop() {
 		must.Eq(t, routing.Ran, outcome, must.Sprintf("%d requests", n))
 	}
@@ -194,9 +195,9 @@
 	stop := startLoad(t, e.self, 8)
 	waitFor(t, "the local upstream has executed more than 20 requests", func() bool { return u.Executed() > 20 })
 	e.source.setOut("a", true)
-	out := time.Now()
+	takenOut := time.Now()
 	time.Sleep(time.Second)
-	must.Less(t, 200*time.Millisecond, u.LastStart().Sub(out))
+	must.Less(t, 200*time.Millisecond, u.LastStart().Sub(takenOut))
 	for outcome, n := range stop() {
 		must.Eq(t, routing.Ran, outcome, must.Sprintf("%d requests", n))
 	}
@@ -208,14 +209,14 @@
 func TestRequestsRunLocallyAfterPartitionFromRemoteDomain(t *testing.T) {
 	const slots = 8
 	near, _, _ := startProxiedUpstream(t, upstream.Options{Name: "near", Work: 5 * time.Millisecond})
-	far, v, link := startProxiedUpstream(t, upstream.Options{Name: "far", Work: 5 * time.Millisecond})
+	far, farUpstream, farProxy := startProxiedUpstream(t, upstream.Options{Name: "far", Work: 5 * time.Millisecond})
 	far.FailureDomain = "b"
 	e := startEntryHost(t, newFakeSource(time.Second, near, far), nil)
 	stop := startLoad(t, e.self, 3*slots)
-	waitFor(t, "the remote upstream has executed more than 20 requests", func() bool { return v.Executed() > 20 })
+	waitFor(t, "the remote upstream has executed more than 20 requests", func() bool { return farUpstream.Executed() > 20 })
 	lost := faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true}
-	link.Set(faultproxy.Up, lost)
-	link.Set(faultproxy.Down, lost)
+	farProxy.Set(faultproxy.Up, lost)
+	farProxy.Set(faultproxy.Down, lost)
 	time.Sleep(3 * time.Second) // 3 request timeouts
 	outcomes := stop()
 	must.Zero(t, outcomes[routing.NotRun])
--- a/routing/serve.go
+++ b/routing/serve.go
@@ -30,7 +30,7 @@
 	defer r.inFlight.Add(-1)
 	began := r.opts.Now()
 	r.setCommonHeaders(w)
-	id, config, err := r.authorise(req)
+	id, service, err := r.authorise(req)
 	if err != nil {
 		writeError(w, NotRun, err)
 		return
@@ -41,15 +41,15 @@
 		return
 	}
 	defer r.bodyBytes.Add(-reserved)
-	c, err := readCall(req, id.Organisation, config, began)
+	c, err := readCall(req, id.Organisation, service, began)
 	if err != nil {
 		writeError(w, NotRun, err)
 		return
 	}
 	ctx, span := otel.Tracer(tracerName).Start(req.Context(), "routing.request")
 	defer span.End()
-	span.SetAttributes(attribute.String("service", config.Name), attribute.String("method", c.method))
-	s := r.serviceFor(config.Name)
+	span.SetAttributes(attribute.String("service", service.Name), attribute.String("method", c.method))
+	s := r.dispatcherFor(service.Name)
 	var res callResult
 	if c.idempotencyKey != "" && !c.idempotent {
 		res = r.executeKeyed(ctx, s, c)
@@ -57,7 +57,7 @@
 		res = r.execute(ctx, s, c)
 	}
 	span.SetAttributes(attribute.String("outcome", string(res.outcome)))
-	r.metrics.count(config.Name, id.Organisation, res.outcome)
+	r.metrics.count(service.Name, id.Organisation, res.outcome)
 	r.metrics.duration.Update(r.opts.Now().Sub(began).Seconds())
 	writeResult(w, res)
 }
@@ -94,7 +94,8 @@
 	w.WriteHeader(resp.status)
 	_, err := w.Write(resp.body)
 	if resp.rest == nil {
-		// Drain waits until the response has been flushed.
+		// Flushed before the handler returns, since Drain does not wait for the request
+		// after that.
 		_ = http.NewResponseController(w).Flush()
 		return
 	}
--- a/routing/service_dispatcher.go
+++ b/routing/service_dispatcher.go
@@ -86,8 +86,8 @@
 	s.deliver(s.dispatcher.Submit(now(), t))
 	s.mu.Unlock()
 	select {
-	case result := <-ch:
-		return result, nil
+	case decided := <-ch:
+		return decided, nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
@@ -96,7 +96,7 @@
 		delete(s.waiters, t.ID)
 		return decision{}, ctx.Err()
 	}
-	if result := <-ch; result.shedReason == "" {
+	if decided := <-ch; decided.shedReason == "" {
 		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{TicketID: t.ID, Result: Unused}))
 	}
 	return decision{}, ctx.Err()
--- a/routing/upstream.go
+++ b/routing/upstream.go
@@ -10,8 +10,8 @@
 
 const (
 	latencyWeight         = 0.05                   // weight of a new latency in the moving average
-	latencyExcessHalfLife = 20 * time.Second       // time in which an unused estimate's excess over the lowest halves
-	remoteCostFactor      = 1.5                    // a remote upstream must be this many times faster than a local one
+	latencyExcessHalfLife = 20 * time.Second       // half-life of an idle upstream's estimated latency above the lowest average latency
+	remoteCostFactor      = 1.5                    // a remote upstream must be this many times faster than a local one to be preferred
 	remoteRoundTrip       = 2 * time.Millisecond   // added latency of another failure domain
 	firstBackoff          = 500 * time.Millisecond // after an upstream's first failure
 	maxBackoff            = 30 * time.Second
@@ -87,10 +87,11 @@
 }
 
 // expectedServiceSeconds returns the expected duration of a request, without the
-// round trip to another failure domain. lowestLatency is the lowest estimate of
-// the service's upstreams. It is used for an upstream without samples, and the
-// estimate of an idle upstream decays towards it, so that an upstream that has
-// recovered is tried again. A request in flight for longer raises the estimate.
+// round trip to another failure domain. lowestLatency is the lowest average
+// latency of the service's usable upstreams, in seconds. An upstream without
+// samples is expected to be that fast, and the estimate of an idle upstream decays
+// towards it, so that an upstream that has recovered is tried again. A request in
+// flight for longer than the estimate raises it.
 func (u *upstreamState) expectedServiceSeconds(now time.Time, lowestLatency float64) float64 {
 	if u.samples == 0 {
 		return lowestLatency
