--- a/routing/service_dispatcher.go
+++ b/routing/service_dispatcher.go
@@ -86,8 +86,8 @@
 	s.deliver(s.dispatcher.Submit(now(), t))
 	s.mu.Unlock()
 	select {
-	case result := <-ch:
-		return result, nil
+	case decided := <-ch:
+		return decided, nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
@@ -96,8 +96,8 @@
 		delete(s.waiters, t.ID)
 		return decision{}, ctx.Err()
 	}
-	if result := <-ch; result.shedReason == "" {
-		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{Ticket: t.ID, Result: Unused}))
+	if decided := <-ch; decided.shedReason == "" {
+		s.deliver(s.dispatcher.FinishAttempt(now(), AttemptReport{TicketID: t.ID, Result: Unused}))
 	}
 	return decision{}, ctx.Err()
 }
@@ -137,11 +137,11 @@
 // deliver sends decisions to the requests that wait for them. The caller holds mu.
 func (s *serviceDispatcher) deliver(d Decisions) {
 	for _, x := range d.Dispatches {
-		s.waiters[x.Ticket] <- decision{dispatch: x}
-		delete(s.waiters, x.Ticket)
+		s.waiters[x.TicketID] <- decision{dispatch: x}
+		delete(s.waiters, x.TicketID)
 	}
 	for _, x := range d.Sheds {
-		s.waiters[x.Ticket] <- decision{shedReason: x.Reason}
-		delete(s.waiters, x.Ticket)
+		s.waiters[x.TicketID] <- decision{shedReason: x.Reason}
+		delete(s.waiters, x.TicketID)
 	}
 }
