--- a/config/check.go
+++ b/config/check.go
@@ -166,14 +166,14 @@
 			c.addMistake(d, field, "hash appears twice", "keep one of the two")
 		}
 		seen[hash] = true
-		if c.usedByAnother(o.Name, hash) {
+		if c.hashUsedByAnother(o.Name, hash) {
 			c.addMistake(d, field, "hash is in use by another organisation", "make a new token for this organisation")
 		}
 	}
 }
 
-// usedByAnother reports whether another organisation has the token hash.
-func (c *checker) usedByAnother(organisation, hash string) bool {
+// hashUsedByAnother reports whether another organisation has the token hash.
+func (c *checker) hashUsedByAnother(organisation, hash string) bool {
 	for name, other := range c.merged.Organisations {
 		if name == organisation {
 			continue
@@ -199,11 +199,11 @@
 			c.addMistake(d, field+".failureDomain", "unknown failure domain "+g.FailureDomain, "apply its document first, or in the same call")
 		}
 		c.checkShape(d, field+".shape", g.Shape)
-		p := guaranteeKey{g.FailureDomain, g.Shape}
-		if seen[p] {
+		key := guaranteeKey{g.FailureDomain, g.Shape}
+		if seen[key] {
 			c.addMistake(d, field, "the same shape is guaranteed twice in "+g.FailureDomain, "raise count of the first")
 		}
-		seen[p] = true
+		seen[key] = true
 	}
 }
 
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -43,9 +43,9 @@
 	must.NoError(t, CheckDocuments(docs, snap))
 }
 
-func TestCheckDocuments_MistakesWithinOneEdit(t *testing.T) {
+func TestCheckDocuments_ReportsMistakesWithinOneEdit(t *testing.T) {
 	cases := []struct {
-		name, edit, with, want string
+		name, original, replacement, want string
 	}{
 		{"duplicate document", `"name": "ziwa"`, `"name": "pwani"`, "d:6: [2].name: organisation/pwani: document appears twice"},
 		{"duplicate team", `{"name": "levy", "quota": 64}`, `{"name": "levy"}, {"name": "levy"}`, "d:4: [1].teams[1].name: organisation/pwani: team levy appears twice"},
@@ -60,14 +60,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := CheckDocuments(parse(t, strings.Replace(validDocuments, c.edit, c.with, 1)), nil)
+			err := CheckDocuments(parse(t, strings.Replace(validDocuments, c.original, c.replacement, 1)), nil)
 			must.StrContains(t, err.Error(), c.want)
 			must.NotEq(t, "", apierr.Flatten(err)[0].Remedy)
 		})
 	}
 }
 
-func TestCheckDocuments_MistakesAgainstDocumentsInForce(t *testing.T) {
+func TestCheckDocuments_ReportsMistakesAgainstDocumentsInForce(t *testing.T) {
 	inForce := merge(parse(t, validDocuments), &Snapshot{})
 	inForce.Retired = map[string]uint64{"levies": 7}
 	cases := []struct{ name, text, want string }{
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestLoadDocuments_MistakesOfEveryFile(t *testing.T) {
+func TestLoadDocuments_ReportsMistakesOfEveryFile(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		must.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
--- a/config/configuration.go
+++ b/config/configuration.go
@@ -20,9 +20,9 @@
 
 func (m manifest) encode() ([]byte, error) { return json.Marshal(m) }
 
-// hashBytes is the number of bytes of the SHA-256 that identify content. It is less
-// than all 32 because the manifest, which is read with every edit, holds a hash for
-// each document.
+// hashBytes is the length to which the SHA-256 of content is cut. It is less than the
+// full 32 bytes because the manifest, which is read with every edit, holds a hash
+// for each document.
 const hashBytes = 16
 
 // contentHash returns the first half of content's SHA-256 in base64.
--- a/config/credentials.go
+++ b/config/credentials.go
@@ -18,7 +18,7 @@
 type credentialCache struct {
 	src  Source
 	mu   sync.Mutex
-	snap *Snapshot
+	snap *Snapshot // snapshot that list was decoded from
 	list []auth.Credential
 }
 
--- a/config/distributor.go
+++ b/config/distributor.go
@@ -68,16 +68,16 @@
 
 	mu                sync.Mutex
 	current           *configuration
-	confirmed         time.Time     // local time before the read that confirmed current; zero: never
-	pastManifests     []manifest    // oldest first, without the current one
-	changed           chan struct{} // closed and replaced when current changes
-	readsInFlight     int           // reads of the head in flight
-	lastReadSent      time.Time     // when the last read of the head was sent
-	fetchingRevision  uint64        // revision being fetched; 0: none
-	relayRetryAt      time.Time     // until then the platform is read instead of polling the relay
-	relayPollInFlight bool          // whether a poll of the relay is in flight
-	lastPeerFetch     time.Time     // when a random peer was last asked because of staleness
-	inFlight          sync.WaitGroup
+	confirmed         time.Time      // local time before the read that confirmed current; zero: never
+	pastManifests     []manifest     // oldest first, without the current one
+	changed           chan struct{}  // closed and replaced when current changes
+	readsInFlight     int            // reads of the head in flight
+	lastReadSent      time.Time      // when the last read of the head was sent
+	fetchingRevision  uint64         // revision being fetched; 0: none
+	relayRetryAt      time.Time      // until then the platform is read instead of polling the relay
+	relayPollInFlight bool           // whether a poll of the relay is in flight
+	lastPeerFetch     time.Time      // when a random peer was last asked because of staleness
+	calls             sync.WaitGroup // calls started by tick; Run waits for them
 }
 
 // NewDistributor returns a distributor with an empty configuration. Run fills it and
@@ -89,7 +89,7 @@
 		current:    emptyConfiguration(),
 		changed:    make(chan struct{}),
 	}
-	d.opts.Metrics.GetOrCreateGauge("cyclamentray_config_revision", func() float64 { return float64(d.newest().manifest.Revision) })
+	d.opts.Metrics.GetOrCreateGauge("cyclamentray_config_revision", func() float64 { return float64(d.currentConfiguration().manifest.Revision) })
 	d.opts.Metrics.GetOrCreateGauge("cyclamentray_config_age_seconds", func() float64 { return d.Age().Seconds() })
 	return d
 }
@@ -120,7 +120,8 @@
 	return d.opts.Now().Sub(confirmed)
 }
 
-func (d *Distributor) newest() *configuration {
+// currentConfiguration returns the configuration whose snapshot Current returns.
+func (d *Distributor) currentConfiguration() *configuration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
@@ -137,21 +138,22 @@
 		case <-ctx.Done():
 		}
 	}
-	d.inFlight.Wait()
+	d.calls.Wait()
 	return nil
 }
 
+// tick starts the calls that planTick chooses and does not wait for them.
 func (d *Distributor) tick(ctx context.Context) {
 	relay := d.relayAddress()
 	plan := d.planTick(d.opts.Now(), relay != "", d.opts.Direct())
 	if plan.readHead {
-		d.inFlight.Go(func() { d.readHead(ctx) })
+		d.calls.Go(func() { d.readHead(ctx) })
 	}
 	if plan.pollRelay {
-		d.inFlight.Go(func() { d.pollRelay(ctx, relay) })
+		d.calls.Go(func() { d.pollRelay(ctx, relay) })
 	}
 	if plan.fetchFromPeer {
-		d.inFlight.Go(func() { d.fetchFromRandomPeer(ctx) })
+		d.calls.Go(func() { d.fetchFromRandomPeer(ctx) })
 	}
 }
 
@@ -163,11 +165,12 @@
 }
 
 // planTick decides which calls to start at now and records them as started.
-func (d *Distributor) planTick(now time.Time, hasRelay, schedules bool) (plan tickPlan) {
+// mustReadPlatform is the value of Options.Direct.
+func (d *Distributor) planTick(now time.Time, hasRelay, mustReadPlatform bool) (plan tickPlan) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	direct := schedules || !hasRelay || now.Before(d.relayRetryAt)
-	intervalElapsed := schedules || now.Sub(d.lastReadSent) >= relayReadInterval-schedulerReadInterval/2
+	direct := mustReadPlatform || !hasRelay || now.Before(d.relayRetryAt)
+	intervalElapsed := mustReadPlatform || now.Sub(d.lastReadSent) >= relayReadInterval-schedulerReadInterval/2
 	if direct && intervalElapsed && d.readsInFlight < maxReadsInFlight {
 		plan.readHead = true
 		d.readsInFlight++
@@ -221,10 +224,10 @@
 	d.fetchRevision(ctx, h, sent)
 }
 
-// confirmHead compares a head read at sent with the current configuration. It
-// returns false if the head is newer. If the head names the current configuration,
-// that is confirmed as of sent. A head that is older or of another manifest is a
-// stale answer, which confirms nothing and is only counted.
+// confirmHead compares a head with the current configuration. sent is the time before
+// the head was read. It returns false if the head is newer. If the head names the
+// current configuration, that is confirmed as of sent. A head that is older or of
+// another manifest is a stale answer, which confirms nothing and is only counted.
 func (d *Distributor) confirmHead(h head, sent time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -254,7 +257,7 @@
 	defer cancel()
 	if known.manifest.Revision == 0 { // a peer's copy saves the platform hundreds of reads when a host starts
 		d.fetchFromRandomPeer(ctx)
-		known = d.newest()
+		known = d.currentConfiguration()
 	}
 	next, err := d.repository.load(ctx, h, known)
 	if err == nil {
--- a/config/distributor_test.go
+++ b/config/distributor_test.go
@@ -21,7 +21,7 @@
 	must.NoError(t, err)
 	f.awaitRevision(revision)
 	f.await(func() bool { // until every host is up to date through its relay
-		for _, m := range f.hosts {
+		for _, m := range f.members {
 			if m.Age() > 2*time.Second {
 				return false
 			}
@@ -58,15 +58,15 @@
 			must.NoError(t, err)
 			f.awaitRevision(revision)
 			f.store.SetFaults(fault)
-			_, confirmed := f.hosts[0].Current()
+			_, confirmed := f.members[0].Current()
 			booted := f.restart(2)                                        // first of its failure domain, so it has no relay
 			f.await(func() bool { return booted.revision() == revision }) // from its peers
 			for end := time.Now().Add(1500 * time.Millisecond); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-				for _, m := range f.hosts {
+				for _, m := range f.members {
 					must.Eq(t, revision, m.revision())
 				}
 			}
-			_, later := f.hosts[0].Current()
+			_, later := f.members[0].Current()
 			must.Less(t, time.Second, later.Sub(confirmed)) // failed and stale reads confirm nothing
 		})
 	}
@@ -77,12 +77,12 @@
 	f.schedulers = true
 	f.store.SetFaults(kv.Faults{Delay: 1300 * time.Millisecond})
 	f.start()
-	f.await(func() bool { return f.hosts[0].Age() < time.Minute })
+	f.await(func() bool { return f.members[0].Age() < time.Minute })
 	fresh := 0
 	const samples = 100
 	for range samples {
 		time.Sleep(20 * time.Millisecond)
-		if f.hosts[0].Age() < 2*time.Second {
+		if f.members[0].Age() < 2*time.Second {
 			fresh++
 		}
 	}
@@ -91,19 +91,19 @@
 
 func TestHostReadsPlatformWhenRelayFails(t *testing.T) {
 	f := newFleet(t, 1, 3)
-	f.hosts[1].start() // hosts[0] is the relay; it answers polls but never reads the platform
-	f.hosts[2].start()
+	f.members[1].start() // members[0] is the relay; it answers polls but never reads the platform
+	f.members[2].start()
 	revision, err := f.editor(1).Apply(context.Background(), []config.Document{failureDomain("n1")}, 0)
 	must.NoError(t, err)
-	f.await(func() bool { return f.hosts[2].revision() == revision })
-	must.NoError(t, f.hosts[0].server.Close()) // now the relay does not answer either
+	f.await(func() bool { return f.members[2].revision() == revision })
+	must.NoError(t, f.members[0].server.Close()) // now the relay does not answer either
 	revision, err = f.editor(1).SetFailureDomain(context.Background(), "n1", true)
 	must.NoError(t, err)
-	f.await(func() bool { return f.hosts[2].revision() == revision && f.hosts[2].Age() < 2*time.Second })
+	f.await(func() bool { return f.members[2].revision() == revision && f.members[2].Age() < 2*time.Second })
 }
 
-// lossyStore serves the first remaining reads of content and reports later ones as
-// not found.
+// lossyStore serves as many reads of content as remaining says, and answers later
+// ones with ErrNotFound.
 type lossyStore struct {
 	kvstore.Store
 	remaining atomic.Int32
--- a/config/editor.go
+++ b/config/editor.go
@@ -199,7 +199,7 @@
 	if e.opts.Distributor == nil {
 		return emptyConfiguration()
 	}
-	return e.opts.Distributor.newest()
+	return e.opts.Distributor.currentConfiguration()
 }
 
 func (e *Editor) countOutcome(err error) {
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -96,6 +96,9 @@
 	return s.Client.Delete(ctx, key)
 }
 
+// An editor deletes the content that its edit replaced only once the edit is in force.
+// If another editor has restored the same text by then, the deletion must not remove
+// the restored document.
 func TestLateDeletionKeepsRestoredDocument(t *testing.T) {
 	ctx := context.Background()
 	server := httptest.NewServer(kv.New())
--- a/config/fields.go
+++ b/config/fields.go
@@ -12,7 +12,7 @@
 	maxQuota               = 100_000
 	maxRunSeconds          = 90 * 24 * 3600
 	maxTimeoutMillis       = 600_000
-	maxElements            = 1000
+	maxListElements        = 1000
 )
 
 var kinds = []string{string(KindOrganisation), string(KindService), string(KindFailureDomain)}
@@ -21,14 +21,16 @@
 	return schema.Field{Name: "kind", Type: schema.String, Required: true, Enum: kinds, Doc: "kind of document"}
 }
 
-func nameField(doc string) schema.Field { return referenceField("name", doc) }
+func nameField(doc string) schema.Field { return requiredNameField("name", doc) }
 
-func referenceField(name, doc string) schema.Field {
+// requiredNameField returns a field that holds a name: that of the document or one of
+// its elements, or that of something else to which it refers.
+func requiredNameField(name, doc string) schema.Field {
 	return schema.Field{Name: name, Type: schema.String, Required: true, Format: schema.NameFormat, Doc: doc}
 }
 
 func listField(name, doc string, elem schema.Field) schema.Field {
-	return schema.Field{Name: name, Type: schema.List, Min: 0, Max: maxElements, Doc: doc, Elem: &elem}
+	return schema.Field{Name: name, Type: schema.List, Min: 0, Max: maxListElements, Doc: doc, Elem: &elem}
 }
 
 func integerField(name, unit string, defaultValue any, lowest, highest int, doc string) schema.Field {
@@ -64,7 +66,7 @@
 		integerField("quota", "accelerators", 0, 0, maxQuota, "most in use at once in a failure domain; 0: no quota"),
 	)),
 	listField("guarantees", "shapes that can always be reclaimed", objectField(
-		referenceField("failureDomain", "where"),
+		requiredNameField("failureDomain", "where"),
 		shapeField("what"),
 		integerField("count", "shapes", 1, 1, maxGuaranteeCount, "how many at once"),
 	)),
@@ -73,8 +75,8 @@
 var serviceFields = objectField(
 	kindField(),
 	nameField("unique among services, also retired ones"),
-	referenceField("organisation", "whose guarantees the jobs run under"),
-	referenceField("team", "whose quota the jobs count against"),
+	requiredNameField("organisation", "whose guarantees the jobs run under"),
+	requiredNameField("team", "whose quota the jobs count against"),
 	listField("jobs", "templates that jobs are submitted under", objectField(
 		nameField("unique within the service"),
 		shapeField("largest shape of a job"),
@@ -99,7 +101,7 @@
 var failureDomainFields = objectField(
 	kindField(),
 	nameField("unique among failure domains"),
-	referenceField("region", "region it lies in"),
+	requiredNameField("region", "region it lies in"),
 	schema.Field{Name: "out", Type: schema.Bool, Doc: "taken out of service: nothing starts here; absent: stays as it is, a new one is in"},
 )
 
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -30,8 +30,8 @@
 	// is set before members start.
 	schedulers bool
 
-	mu    sync.Mutex // guards hosts against restart
-	hosts []*member
+	mu      sync.Mutex // guards members against restart
+	members []*member
 }
 
 // member is one entry host of a fleet.
@@ -51,7 +51,7 @@
 	v := &membership.View{Self: m.self}
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	for _, other := range m.fleet.hosts {
+	for _, other := range m.fleet.members {
 		v.Hosts = append(v.Hosts, other.self)
 	}
 	return v
@@ -64,11 +64,11 @@
 	f.url = server.URL
 	for fd := range failureDomains {
 		for h := range hostsEach {
-			f.hosts = append(f.hosts, f.newMember(fmt.Sprintf("n%d", fd), fmt.Sprintf("n%d-%d", fd, h)))
+			f.members = append(f.members, f.newMember(fmt.Sprintf("n%d", fd), fmt.Sprintf("n%d-%d", fd, h)))
 		}
 	}
 	t.Cleanup(func() {
-		for _, m := range f.hosts {
+		for _, m := range f.members {
 			m.shutDown()
 		}
 		f.store.SetFaults(kv.Faults{})
@@ -104,25 +104,25 @@
 }
 
 func (f *fleet) start() {
-	for _, m := range f.hosts {
+	for _, m := range f.members {
 		m.start()
 	}
 }
 
 // restart replaces a member by one that has read no configuration.
 func (f *fleet) restart(i int) *member {
-	old := f.hosts[i]
+	old := f.members[i]
 	old.shutDown()
 	booted := f.newMember(old.self.FailureDomain, old.self.Name)
 	f.mu.Lock()
-	f.hosts[i] = booted
+	f.members[i] = booted
 	f.mu.Unlock()
 	booted.start()
 	return booted
 }
 
 func (f *fleet) editor(i int) *config.Editor {
-	return config.NewEditor(config.EditorOptions{Store: f.hosts[i].guard, Distributor: f.hosts[i].Distributor})
+	return config.NewEditor(config.EditorOptions{Store: f.members[i].guard, Distributor: f.members[i].Distributor})
 }
 
 func (m *member) revision() uint64 {
@@ -135,7 +135,7 @@
 	f.t.Helper()
 	began := time.Now()
 	f.await(func() bool {
-		for _, m := range f.hosts {
+		for _, m := range f.members {
 			if m.revision() != revision {
 				return false
 			}
--- a/config/linearizability_test.go
+++ b/config/linearizability_test.go
@@ -19,13 +19,13 @@
 	"github.com/cyclamentray/cyclamentray/standin/kv"
 )
 
-// editInput is one operator's edit: of a failure domain whatever revision is in
-// force, or of documents at an expected revision.
+// editInput is one operator's edit: Apply of a new organisation's document, or
+// SetFailureDomain.
 type editInput struct {
-	apply    bool
-	expected uint64 // revision that apply expects
-	domain   int
-	out      bool
+	apply    bool   // Apply; otherwise SetFailureDomain
+	expected uint64 // Apply: expected revision
+	domain   int    // SetFailureDomain: index of the failure domain
+	out      bool   // SetFailureDomain: whether to take it out of service
 }
 
 type editOutput struct {
@@ -36,7 +36,7 @@
 // modelState is the state of the sequential model of the configuration.
 type modelState struct {
 	revision uint64
-	out      [2]bool
+	out      [2]bool // whether each failure domain is out of service
 }
 
 func (s modelState) afterEdit(in editInput) modelState {
@@ -85,6 +85,7 @@
 	},
 }
 
+// recorder collects the history of edits for the linearizability check.
 type recorder struct {
 	mu      sync.Mutex
 	began   time.Time
@@ -129,6 +130,7 @@
 	}
 }
 
+// injectFaults gives store random faults until stop is closed, then none.
 func injectFaults(store *kv.Server, random *rand.Rand, stop <-chan struct{}) {
 	for {
 		f := kv.Faults{}
--- a/config/load.go
+++ b/config/load.go
@@ -49,7 +49,7 @@
 		}
 		before := len(files)
 		for _, e := range entries {
-			if !e.IsDir() && isDocumentName(e.Name()) {
+			if !e.IsDir() && isDocumentFile(e.Name()) {
 				files = append(files, filepath.Join(path, e.Name()))
 			}
 		}
@@ -62,7 +62,7 @@
 	return files, mistakes
 }
 
-func isDocumentName(name string) bool {
+func isDocumentFile(name string) bool {
 	for _, suffix := range documentSuffixes {
 		if strings.HasSuffix(name, suffix) {
 			return true
--- a/config/parse.go
+++ b/config/parse.go
@@ -77,14 +77,14 @@
 // UnmarshalJSON implements json.Unmarshaler for documents that were checked before.
 // Unchecked input is read by ParseDocuments.
 func (d *Document) UnmarshalJSON(data []byte) error {
-	var head struct {
+	var header struct {
 		Kind Kind  `json:"kind"`
 		Out  *bool `json:"out"`
 	}
-	if err := json.Unmarshal(data, &head); err != nil {
+	if err := json.Unmarshal(data, &header); err != nil {
 		return err
 	}
-	*d = Document{Kind: head.Kind, outOmitted: head.Kind == KindFailureDomain && head.Out == nil}
+	*d = Document{Kind: header.Kind, outOmitted: header.Kind == KindFailureDomain && header.Out == nil}
 	value, err := d.allocate()
 	if err != nil {
 		return err
@@ -112,9 +112,9 @@
 // is the file's name in errors. The error is an *apierr.Error with every mistake
 // found. Mistakes between documents are found by CheckDocuments.
 func ParseDocuments(name string, data []byte) ([]Document, error) {
-	src, bad := schema.Read(name, data)
-	if bad != nil {
-		return nil, bad
+	src, mistake := schema.Read(name, data)
+	if mistake != nil {
+		return nil, mistake
 	}
 	p := &parser{src: src}
 	if list, ok := src.Root.Value.(*hujson.Array); ok {
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -30,7 +30,7 @@
 	}, got)
 }
 
-func TestParseDocuments_DefaultsAndRoundTrip(t *testing.T) {
+func TestParseDocuments_SetsDefaultsAndSurvivesRoundTrip(t *testing.T) {
 	docs, err := ParseDocuments("svc.hujson", []byte(`{"kind": "service", "name": "filings", "organisation": "pwani", "team": "levy",
 	  "jobs": [{"name": "train", "shape": {"tasks": 2, "acceleratorsPerTask": 8}, "runSeconds": 60}]}`))
 	must.NoError(t, err)
--- a/config/relay.go
+++ b/config/relay.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// fillReply sets reply to the current configuration, for a caller at revision have
-// whose request arrived at arrived.
+// fillReply sets reply to the current configuration, for a caller at revision have.
+// arrived is the time at which the caller's request arrived.
 func (d *Distributor) fillReply(have uint64, arrived time.Time, reply *LatestReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +126,7 @@
 func (d *Distributor) fetchFromPeer(ctx context.Context, address string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerAnswerGrace)
 	defer cancel()
-	known := d.newest()
+	known := d.currentConfiguration()
 	args := &LatestArgs{Have: known.manifest.Revision, Wait: wait}
 	var reply LatestReply
 	sent := d.opts.Now()
@@ -136,8 +136,8 @@
 	return d.adoptReply(known, sent, reply)
 }
 
-// adoptReply adopts a peer's reply to a request that was sent at sent with the
-// revision of known.
+// adoptReply adopts a peer's reply. known is the configuration whose revision the
+// request named, and sent the time at which the request was sent.
 func (d *Distributor) adoptReply(known *configuration, sent time.Time, reply LatestReply) error {
 	next := known
 	if reply.Delta != nil {
--- a/config/repository.go
+++ b/config/repository.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	headKey       = "cyclamentray/config/manifest"
+	headKey       = "cyclamentray/config/manifest" // holds the head; a manifest is stored as content
 	contentPrefix = "cyclamentray/config/content/"
 	// maxRecentEdits is the number of accepted edits that the head lists, so that an
 	// editor whose answer was lost can see whether its edit was accepted.
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -21,7 +21,7 @@
 
 const (
 	storeWatchWait     = 10 * time.Second // longest time for which the store is asked to hold a watch open
-	maxReplyBytes      = 4 << 20
+	maxResponseBytes   = 4 << 20
 	maxIdleConnections = 8
 )
 
@@ -122,7 +122,8 @@
 	return c.compareAndSwap(ctx, key, value, version, newNonce())
 }
 
-// compareAndSwap is CompareAndSwap with the nonce that is stored with the value.
+// compareAndSwap is CompareAndSwap with a nonce of the caller, which is stored with
+// the value.
 func (c *Client) compareAndSwap(ctx context.Context, key string, value []byte, version, nonce uint64) (Entry, error) {
 	query := url.Values{}
 	query.Set("cas", strconv.FormatUint(version, 10))
@@ -140,7 +141,7 @@
 }
 
 // writeEntry sends one PUT and returns refusedErr if the store declines it.
-func (c *Client) writeEntry(ctx context.Context, key string, value []byte, query url.Values, lease string, refusedErr error) (Entry, error) {
+func (c *Client) writeEntry(ctx context.Context, key string, value []byte, query url.Values, leaseID string, refusedErr error) (Entry, error) {
 	status, header, body, err := c.callWithHeader(ctx, http.MethodPut, "/v1/kv/"+key, query, value)
 	switch {
 	case errors.Is(err, errNotSent):
@@ -159,7 +160,7 @@
 	if err != nil {
 		return Entry{}, failure(ErrAmbiguous, err)
 	}
-	return Entry{Key: key, Value: value, Version: version, Lease: lease}, nil
+	return Entry{Key: key, Value: value, Version: version, Lease: leaseID}, nil
 }
 
 // Delete implements Deleter.
@@ -171,7 +172,8 @@
 	return nil
 }
 
-// sessionRequest is the platform's JSON form of a lease request.
+// sessionRequest is the platform's JSON form of a request for a lease, which the
+// platform calls a session.
 type sessionRequest struct {
 	TTL       string
 	LockDelay string
@@ -250,8 +252,8 @@
 var errNotSent = errors.New("call not sent")
 
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
-	status, _, reply, err := c.callWithHeader(ctx, method, path, query, body)
-	return status, reply, err
+	status, _, responseBody, err := c.callWithHeader(ctx, method, path, query, body)
+	return status, responseBody, err
 }
 
 // callWithHeader sends a request to the URL in use and switches to the next URL
@@ -265,14 +267,14 @@
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
-	status, header, reply, err := c.exchange(ctx, method, target, body)
+	status, header, responseBody, err := c.exchange(ctx, method, target, body)
 	if err != nil || status >= http.StatusInternalServerError {
 		c.current.CompareAndSwap(index, index+1)
 	}
-	return status, header, reply, err
+	return status, header, responseBody, err
 }
 
-// exchange sends one HTTP request and reads the response, up to maxReplyBytes.
+// exchange sends one HTTP request and reads the response, up to maxResponseBytes.
 func (c *Client) exchange(ctx context.Context, method, target string, body []byte) (int, http.Header, []byte, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -291,9 +293,9 @@
 		return 0, nil, nil, err
 	}
 	defer resp.Body.Close()
-	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("reading the platform's response: %w", err)
 	}
-	return resp.StatusCode, resp.Header, reply, nil
+	return resp.StatusCode, resp.Header, responseBody, nil
 }
--- a/kvstore/fallback.go
+++ b/kvstore/fallback.go
@@ -38,7 +38,8 @@
 	Peers  peer.Caller
 	// Addresses returns the addresses of the peers, without this host.
 	Addresses func() []string
-	// Metrics, when set, counts calls by operation, way and outcome.
+	// Metrics, when set, counts calls by operation, way (direct or through a peer)
+	// and outcome.
 	Metrics *metrics.Set
 	// ProbeKey is the key that probes read to check whether the store answers.
 	ProbeKey string
@@ -152,12 +153,12 @@
 }
 
 // withTimeShare bounds ctx to a fraction of the time it has left.
-func withTimeShare(ctx context.Context, part float64) (context.Context, context.CancelFunc) {
+func withTimeShare(ctx context.Context, share float64) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Duration(float64(time.Until(deadline))*part))
+	return context.WithTimeout(ctx, time.Duration(float64(time.Until(deadline))*share))
 }
 
 // callPeers tries a few peers in turn until one reaches the store.
@@ -225,6 +226,7 @@
 	return reply, failure(ErrUnavailable, err)
 }
 
+// count counts one attempt at a call; way is "direct" or "peer".
 func (f *Fallback) count(op keyspaceOp, way string, err error) {
 	if f.Metrics == nil {
 		return
--- a/kvstore/fallback_store.go
+++ b/kvstore/fallback_store.go
@@ -60,7 +60,8 @@
 	return s.callPeers(ctx, addresses, args, timeout)
 }
 
-// canHedge reports whether two copies of a call may be in flight at once.
+// canHedge reports whether hedge may make a call: two copies of it are then in
+// flight at once.
 func canHedge(op storeOp) bool { return op == opGet || op == opRenew }
 
 // callResult is the result of one of the calls that hedge makes.
--- a/kvstore/fallback_test.go
+++ b/kvstore/fallback_test.go
@@ -21,23 +21,23 @@
 	calls   atomic.Int64
 }
 
-func (r *fakePeer) Call(_ context.Context, _, _ string, args, reply any) error {
-	r.calls.Add(1)
-	if r.down.Load() {
+func (p *fakePeer) Call(_ context.Context, _, _ string, args, reply any) error {
+	p.calls.Add(1)
+	if p.down.Load() {
 		return errors.New("connection reset")
 	}
-	return r.service.Do(args.(*kvstore.KeyspaceArgs), reply.(*kvstore.KeyspaceReply))
+	return p.service.Do(args.(*kvstore.KeyspaceArgs), reply.(*kvstore.KeyspaceReply))
 }
 
 // newFallback returns a Fallback over two stores: one that the host calls directly,
 // with the faults that fault selects, and one behind a peer, without faults.
 func newFallback(fault *atomic.Int64) (*kvstore.Fallback, *fakePeer, *keyspace.Store) {
-	var shared *keyspace.Store
+	var peerStore *keyspace.Store
 	direct := keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Outcome(fault.Load()) }})
-	shared = keyspace.New(keyspace.Options{})
-	r := &fakePeer{service: kvstore.KeyspaceService{Store: shared}}
-	f := &kvstore.Fallback{Direct: direct, Peers: r, Addresses: func() []string { return []string{"peer"} }, ProbeKey: "probe"}
-	return f, r, shared
+	peerStore = keyspace.New(keyspace.Options{})
+	p := &fakePeer{service: kvstore.KeyspaceService{Store: peerStore}}
+	f := &kvstore.Fallback{Direct: direct, Peers: p, Addresses: func() []string { return []string{"peer"} }, ProbeKey: "probe"}
+	return f, p, peerStore
 }
 
 func createKey(key string) kvstore.Txn {
@@ -57,9 +57,9 @@
 func TestFallbackReportsAmbiguousWhenAnEarlierAttemptMayHaveCommitted(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Lost))
-	f, r, _ := newFallback(&fault)
-	r.down.Store(false)
-	r.service.Store = keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Refused }})
+	f, p, _ := newFallback(&fault)
+	p.down.Store(false)
+	p.service.Store = keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Refused }})
 	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrAmbiguous)
 	must.False(t, errors.Is(err, kvstore.ErrUnavailable))
@@ -70,18 +70,18 @@
 func TestFallbackUsesPeerUntilTheStoreAnswers(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, shared := newFallback(&fault)
+	f, p, peerStore := newFallback(&fault)
 	_, err := f.Commit(shortContext(t), createKey("k"))
 	must.NoError(t, err)
-	_, err = shared.Get(shortContext(t), "k")
+	_, err = peerStore.Get(shortContext(t), "k")
 	must.NoError(t, err)
 	_, err = f.Commit(shortContext(t), createKey("k"))
 	must.ErrorIs(t, err, kvstore.ErrConflict)
 	fault.Store(int64(keyspace.Served))
 	for deadline := time.Now().Add(5 * time.Second); ; {
-		before := r.calls.Load()
+		before := p.calls.Load()
 		_, _ = f.Get(shortContext(t), "k") // only the path of the call matters, not its result
-		if r.calls.Load() == before {
+		if p.calls.Load() == before {
 			return
 		}
 		must.True(t, time.Now().Before(deadline), must.Sprint("calls still go through the peer"))
@@ -93,8 +93,8 @@
 func TestFallbackFailsWhenStoreAndPeersAreDown(t *testing.T) {
 	var fault atomic.Int64
 	fault.Store(int64(keyspace.Refused))
-	f, r, _ := newFallback(&fault)
-	r.down.Store(true)
+	f, p, _ := newFallback(&fault)
+	p.down.Store(true)
 	_, err := f.Get(shortContext(t), "k")
 	must.ErrorIs(t, err, kvstore.ErrUnavailable)
 	_, err = f.Commit(shortContext(t), createKey("k"))
@@ -112,10 +112,10 @@
 		return keyspace.Outcome(fault.Load())
 	}})
 	seen := make(map[string]bool)
-	var n, lost, regained atomic.Int64
+	var seenCount, lost, regained atomic.Int64
 	record := func(key string) {
 		seen[key] = true
-		n.Store(int64(len(seen)))
+		seenCount.Store(int64(len(seen)))
 	}
 	f := &kvstore.Follower{
 		Store: store, Prefix: "p/", Wait: 50 * time.Millisecond,
@@ -143,8 +143,8 @@
 		must.NoError(t, err)
 	}
 	await := func(want int64) {
-		for deadline := time.Now().Add(5 * time.Second); n.Load() != want; time.Sleep(5 * time.Millisecond) {
-			must.True(t, time.Now().Before(deadline), must.Sprintf("%d of %d seen", n.Load(), want))
+		for deadline := time.Now().Add(5 * time.Second); seenCount.Load() != want; time.Sleep(5 * time.Millisecond) {
+			must.True(t, time.Now().Before(deadline), must.Sprintf("%d of %d seen", seenCount.Load(), want))
 		}
 	}
 	commit("p/1")
--- a/kvstore/guard.go
+++ b/kvstore/guard.go
@@ -37,7 +37,7 @@
 // Options configures a Guard.
 type Options struct {
 	Base    string   // base URL of the platform, such as "http://127.0.0.1:8500"
-	Others  []string // its further base URLs, tried in turn
+	Others  []string // further base URLs of the platform, tried in turn
 	Rate    float64  // calls per second that this host may make; 0: the default
 	Burst   int      // calls that may be made at once; 0: the default
 	Now     func() time.Time
@@ -154,10 +154,10 @@
 	return failure(ErrUnavailable, errors.Wrap(g.budget.Wait(ctx), "call budget"))
 }
 
-// record counts a call's outcome and updates the circuit breaker. A call that
-// failed because its caller cancelled it is no evidence about the platform,
-// unless callTimeout had passed by then; for a watch it never is. A late answer
-// does not mark the platform as up, except that of a watch.
+// record counts a call's outcome and updates the circuit breaker. A call that its
+// caller cancelled says nothing about the platform, unless callTimeout had passed by
+// then; a cancelled watch never does. An answer later than callTimeout does not mark
+// the platform as up, unless it is a watch's.
 func (g *Guard) record(ctx context.Context, kind string, sent time.Time, err error) {
 	now := g.opts.Now()
 	g.opts.Metrics.GetOrCreateHistogram(fmt.Sprintf(`cyclamentray_platform_call_seconds{kind=%q}`, kind)).Update(now.Sub(sent).Seconds())
--- a/kvstore/keyspace.go
+++ b/kvstore/keyspace.go
@@ -12,9 +12,9 @@
 // one transaction may have.
 const MaxTxnEntries = 32
 
-// ErrCompacted means that the store no longer has the history that a watch
-// asked for; list the prefix again.
-var ErrCompacted = errors.New("kvstore: the history asked for is gone; list the prefix again")
+// ErrCompacted means that the store has compacted the history that a watch asked
+// for; list the prefix again.
+var ErrCompacted = errors.New("kvstore: history has been compacted; list the prefix again")
 
 // Item is a key with its latest value.
 type Item struct {
@@ -58,7 +58,7 @@
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("kvstore: transaction conflict: a condition on %d keys does not hold; read them again", len(e.Items))
+	return fmt.Sprintf("kvstore: transaction conflict: at least one of the conditions on %d keys does not hold; read the keys again", len(e.Items))
 }
 
 // Is makes errors.Is(err, ErrConflict) hold.
@@ -82,7 +82,7 @@
 	// misses no change.
 	List(ctx context.Context, prefix string) (items []Item, asOf uint64, err error)
 	// Watch waits up to wait for changes under prefix later than after.
-	// It returns ErrCompacted when that history is gone.
+	// It returns ErrCompacted when that history has been compacted.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (events []Event, asOf uint64, err error)
 	// Commit applies a transaction and returns its revision, a *ConflictError,
 	// or ErrLeaseLost when a put names a lease that has ended.
--- a/kvstore/keyspace_service.go
+++ b/kvstore/keyspace_service.go
@@ -35,7 +35,8 @@
 // SetContext implements peer.ContextSetter.
 func (a *KeyspaceArgs) SetContext(ctx context.Context) { a.ctx = ctx }
 
-// writes reports whether an unanswered call may have changed keys.
+// writes reports whether the call commits a transaction. A commit whose answer is lost
+// fails with ErrAmbiguous.
 func (a *KeyspaceArgs) writes() bool { return a.Op == keyspaceCommit }
 
 // KeyspaceReply is the store's answer, as returned by a peer.
@@ -68,27 +69,27 @@
 	return nil
 }
 
-// callKeyspace runs the operation that a names on store.
-func callKeyspace(ctx context.Context, store Keyspace, a KeyspaceArgs) (KeyspaceReply, error) {
+// callKeyspace runs the operation args.Op on store.
+func callKeyspace(ctx context.Context, store Keyspace, args KeyspaceArgs) (KeyspaceReply, error) {
 	var r KeyspaceReply
 	var err error
-	switch a.Op {
+	switch args.Op {
 	case keyspaceGet:
-		r.Item, err = store.Get(ctx, a.Key)
+		r.Item, err = store.Get(ctx, args.Key)
 	case keyspaceList:
-		r.Items, r.Revision, err = store.List(ctx, a.Key)
+		r.Items, r.Revision, err = store.List(ctx, args.Key)
 	case keyspaceWatch:
-		r.Events, r.Revision, err = store.Watch(ctx, a.Key, a.Revision, a.Wait)
+		r.Events, r.Revision, err = store.Watch(ctx, args.Key, args.Revision, args.Wait)
 	case keyspaceCommit:
-		r.Revision, err = store.Commit(ctx, a.Txn)
+		r.Revision, err = store.Commit(ctx, args.Txn)
 	case keyspaceGrant:
-		r.Lease, err = store.Grant(ctx, a.Wait)
+		r.Lease, err = store.Grant(ctx, args.Wait)
 	case keyspaceRenew:
-		err = store.Renew(ctx, a.Revision)
+		err = store.Renew(ctx, args.Revision)
 	case keyspaceRevoke:
-		err = store.Revoke(ctx, a.Revision)
+		err = store.Revoke(ctx, args.Revision)
 	default:
-		err = errors.Wrapf(ErrUnavailable, "unknown operation %q; run the same version on every host", a.Op)
+		err = errors.Wrapf(ErrUnavailable, "unknown operation %q; run the same version on every host", args.Op)
 	}
 	return r, err
 }
--- a/kvstore/peer_service.go
+++ b/kvstore/peer_service.go
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// execute runs the operation that args names and stores its result in reply.
+// execute runs the operation args.Op and stores its result in reply.
 func (g *Guard) execute(ctx context.Context, args CarryArgs, reply *CarryReply) (err error) {
 	switch storeOp(args.Op) {
 	case opGet:
@@ -132,7 +132,7 @@
 	case opWatchHosts:
 		reply.Hosts, reply.Index, err = g.WatchHosts(ctx, args.Version)
 	default:
-		err = errors.Newf("unknown operation %q; run the same release on both hosts", args.Op)
+		err = errors.Newf("unknown operation %q; run the same version on both hosts", args.Op)
 	}
 	return err
 }
--- a/kvstore/resolve_test.go
+++ b/kvstore/resolve_test.go
@@ -34,7 +34,7 @@
 		name  string
 		w     scriptedWriter
 		want  error
-		swaps int
+		swaps int // number of swaps sent; 0: not checked
 	}{
 		{"applied: the key has our nonce", scriptedWriter{found: Entry{Version: 8, Nonce: 7}}, nil, 1},
 		{"pending: the key is unchanged, so the swap is sent again", scriptedWriter{found: Entry{Version: 3}}, nil, 2},
--- a/kvstore/store.go
+++ b/kvstore/store.go
@@ -114,8 +114,8 @@
 	Service       string   `json:"service,omitempty"` // upstreams: the service it runs
 	Accelerators  int      `json:"accelerators,omitempty"`
 	Slots         int      `json:"slots,omitempty"`       // upstreams: requests served at once
-	Connections   int      `json:"connections,omitempty"` // upstreams: connections taken
-	Leaving       bool     `json:"leaving,omitempty"`
+	Connections   int      `json:"connections,omitempty"` // upstreams: limit of connections; 0: no limit
+	Leaving       bool     `json:"leaving,omitempty"`     // the host gets no new work
 }
 
 // HostLister reads the platform's host list, which lags behind the actual state.
