--- a/api/api.go
+++ b/api/api.go
@@ -53,10 +53,10 @@
 	Name              string        `json:"name"`
 	FailureDomain     string        `json:"failureDomain"`
 	Revision          uint64        `json:"revision"`            // configuration in force on the host
-	ConfirmedAge      time.Duration `json:"confirmedAgeNanos"`   // since the platform last confirmed it
+	ConfirmedAge      time.Duration `json:"confirmedAgeNanos"`   // since the platform last confirmed Revision
 	Term              uint64        `json:"term,omitempty"`      // term under which the host is the scheduler; 0: it is not
 	Draining          bool          `json:"draining,omitempty"`  // the host is shutting down
-	HeartbeatAge      time.Duration `json:"heardAgeNanos"`       // since its last heartbeat
+	HeartbeatAge      time.Duration `json:"heardAgeNanos"`       // since its last heartbeat; 0: none received, or the answering host itself
 	UnreachableReason string        `json:"unreached,omitempty"` // why a peer did not answer
 }
 
@@ -69,11 +69,11 @@
 // FailureDomainStatus sums up the workers and jobs of a failure domain.
 type FailureDomainStatus struct {
 	Name         string `json:"name"`
-	Out          bool   `json:"out"`
+	Out          bool   `json:"out"` // taken out of service by an operator
 	Workers      int    `json:"workers"`
 	Accelerators int    `json:"accelerators"`
-	Queued       int    `json:"queued"`
-	Running      int    `json:"running"`
+	Queued       int    `json:"queued"`              // jobs
+	Running      int    `json:"running"`             // jobs placed, running or stopping
 	Scheduler    string `json:"scheduler,omitempty"` // entry host that holds the term; empty: none is known
 
 	// Deficits lists the guarantees that the available hardware cannot satisfy, and why.
--- a/apierr/apierr.go
+++ b/apierr/apierr.go
@@ -23,11 +23,11 @@
 	NotFound        Kind = "not-found"
 	Conflict        Kind = "conflict"
 	TooLarge        Kind = "too-large"
-	Infeasible      Kind = "infeasible"
-	Retired         Kind = "retired"
+	Infeasible      Kind = "infeasible" // the job fits no failure domain
+	Retired         Kind = "retired"    // the service is retired
 	Overloaded      Kind = "overloaded"
 	Unavailable     Kind = "unavailable"
-	OutcomeUnknown  Kind = "outcome-unknown"
+	OutcomeUnknown  Kind = "outcome-unknown" // the request may or may not have run
 	Internal        Kind = "internal"
 )
 
@@ -49,7 +49,7 @@
 // Error is a failure that a caller or an operator can act on.
 type Error struct {
 	Kind    Kind     `json:"kind"`
-	File    string   `json:"file,omitempty"`  // file at fault, when the mistake is in one
+	File    string   `json:"file,omitempty"`  // file that contains the mistake, if any
 	Line    int      `json:"line,omitempty"`  // from 1; 0: not known
 	Field   string   `json:"field,omitempty"` // path of the field at fault, such as "jobs[0].shape.tasks"
 	Message string   `json:"message"`
--- a/auth/auth.go
+++ b/auth/auth.go
@@ -43,7 +43,7 @@
 
 // Options configure an Authenticator.
 type Options struct {
-	OperatorHashes []string            // SHA-256 in hexadecimal; malformed ones match nothing
+	OperatorHashes []string            // SHA-256 in hexadecimal; malformed ones are ignored
 	Credentials    func() []Credential // organisations' credentials in force; nil: none
 	Public         []string            // paths served to anyone
 	Logger         *log.Logger
--- a/auth/auth_test.go
+++ b/auth/auth_test.go
@@ -20,6 +20,7 @@
 }
 
 func newAuthenticator(t *testing.T) *Authenticator {
+	// The empty token must be rejected even if a document holds its hash.
 	list := []Credential{credential(t, "tok-pwani", "pwani"), credential(t, "tok-ziwa", "ziwa"), credential(t, "", "nobody")}
 	return New(Options{
 		OperatorHashes: []string{HashToken("tok-op"), "malformed"},
@@ -30,7 +31,7 @@
 	})
 }
 
-func TestMiddleware_PutsTheSenderInContext(t *testing.T) {
+func TestMiddleware_AuthenticatesBearerTokens(t *testing.T) {
 	cases := []struct {
 		header string
 		path   string
@@ -49,7 +50,7 @@
 		{"", "/healthz/../x", 401, Identity{}},
 	}
 	a := newAuthenticator(t)
-	refusals := map[string]bool{}
+	unauthorizedBodies := map[string]bool{}
 	for _, c := range cases {
 		var got Identity
 		inner := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got, _ = FromContext(r.Context()) })
@@ -60,10 +61,10 @@
 		must.Eq(t, c.status, w.Code, must.Sprintf("%q %s", c.header, c.path))
 		must.Eq(t, c.want, got)
 		if w.Code == 401 {
-			refusals[w.Body.String()] = true
+			unauthorizedBodies[w.Body.String()] = true
 		}
 	}
-	must.MapLen(t, 1, refusals, must.Sprint("all 401 responses must have the same body"))
+	must.MapLen(t, 1, unauthorizedBodies, must.Sprint("all 401 responses must have the same body"))
 }
 
 func TestRequireOperator(t *testing.T) {
--- a/auth/keys.go
+++ b/auth/keys.go
@@ -19,10 +19,10 @@
 // replaced at any time, so their certificates do not contain addresses.
 const PeerName = "cyclamentray-entry"
 
-// KeyOptions name the PEM files of one listener.
+// KeyOptions configure the Keys of one listener.
 type KeyOptions struct {
 	Listener string // "http" or "peer", for logs and metrics
-	CertFile string
+	CertFile string // PEM file, as are KeyFile and CAFile
 	KeyFile  string
 	CAFile   string        // empty: no client certificate is required
 	Interval time.Duration // between checks for changed files
@@ -33,8 +33,8 @@
 // Keys holds a listener's certificate and certificate authorities, and reloads
 // changed files without a restart. It is safe for concurrent use.
 type Keys struct {
-	options  KeyOptions
-	failures *metrics.Counter
+	options        KeyOptions
+	reloadFailures *metrics.Counter
 
 	mu      sync.Mutex
 	files   [3][]byte // contents of CertFile, KeyFile and CAFile that current was parsed from
@@ -51,7 +51,7 @@
 // LoadKeys reads the files of o. It returns an error unless all of them are valid.
 func LoadKeys(o KeyOptions) (*Keys, error) {
 	label := `{listener="` + o.Listener + `"}`
-	k := &Keys{options: o, failures: o.Metrics.GetOrCreateCounter("cyclamentray_auth_key_reload_failures_total" + label)}
+	k := &Keys{options: o, reloadFailures: o.Metrics.GetOrCreateCounter("cyclamentray_auth_key_reload_failures_total" + label)}
 	if _, err := k.Reload(); err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	changed, err := k.Reload()
 	switch {
 	case err != nil:
-		k.failures.Inc()
+		k.reloadFailures.Inc()
 		k.options.Logger.Error("cannot load changed key files; keeping the previous keys", "listener", k.options.Listener, "err", err)
 	case changed:
 		k.options.Logger.Info("loaded changed key files", "listener", k.options.Listener, "expires", k.currentKeys().expires)
--- a/auth/keys_test.go
+++ b/auth/keys_test.go
@@ -119,7 +119,7 @@
 	return <-done, clientErr
 }
 
-func TestPeerConfig_BothSidesAreChecked(t *testing.T) {
+func TestPeerConfig_BothSidesVerifyCertificates(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	host := func(signer *authority, name string) *Keys {
 		cert, key := signer.issue(t, 1, name)
@@ -128,14 +128,14 @@
 	good, good2 := host(ours, PeerName), host(ours, PeerName)
 	untrusted, wrongName := host(theirs, PeerName), host(ours, "upstream")
 
-	s, c := handshake(t, good, good2)
-	must.NoError(t, s)
-	must.NoError(t, c)
+	serverErr, clientErr := handshake(t, good, good2)
+	must.NoError(t, serverErr)
+	must.NoError(t, clientErr)
 	for _, bad := range []*Keys{untrusted, wrongName} {
-		s, _ = handshake(t, good, bad)
-		must.Error(t, s, must.Sprint("the server accepted an invalid client certificate"))
-		_, c = handshake(t, bad, good)
-		must.Error(t, c, must.Sprint("the client accepted an invalid server certificate"))
+		serverErr, _ = handshake(t, good, bad)
+		must.Error(t, serverErr, must.Sprint("the server accepted an invalid client certificate"))
+		_, clientErr = handshake(t, bad, good)
+		must.Error(t, clientErr, must.Sprint("the client accepted an invalid server certificate"))
 	}
 }
 
@@ -156,7 +156,7 @@
 
 	cert, key = ca.issue(t, 2, "entry")
 	writeFile(t, o.CertFile, cert) // does not match key.pem yet: the old pair stays in use
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return k.failures.Get() > 0 }), wait.Timeout(time.Minute), wait.Gap(time.Millisecond)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return k.reloadFailures.Get() > 0 }), wait.Timeout(time.Minute), wait.Gap(time.Millisecond)))
 	must.Eq(t, 1, servedSerial(t, ca, server))
 
 	writeFile(t, o.KeyFile, key)
@@ -199,7 +199,7 @@
 	must.Error(t, get(&tls.Config{RootCAs: pool}))
 }
 
-func TestLoadKeys_BadFilesNameTheFileAndRemedy(t *testing.T) {
+func TestLoadKeys_ErrorNamesTheFileAndRemedy(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, 1, "entry")
 	_, err := LoadKeys(writeKeyFiles(t, cert, []byte("no key"), nil))
--- a/client/client.go
+++ b/client/client.go
@@ -143,8 +143,8 @@
 	Body    []byte `json:"body"`
 }
 
-// Request sends a request to a service. An empty key sends no idempotency key.
-// When it is not known whether the request ran, the error is OutcomeUnknown.
+// Request sends a request to a service, with key as its idempotency key unless key
+// is empty. If it is not known whether the request ran, the error is OutcomeUnknown.
 func (c *Client) Request(ctx context.Context, method, service, path, key string, body []byte) (Answer, error) {
 	target := "/v1/services/" + url.PathEscape(service) + "/requests/" + strings.TrimPrefix(path, "/")
 	req, err := c.newRequest(ctx, method, target, body)
@@ -159,11 +159,11 @@
 		return Answer{}, noAnswerError(err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	received, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
 		return Answer{}, outcomeUnknownError("the answer was cut: " + err.Error())
 	}
-	return Answer{Status: resp.StatusCode, Outcome: resp.Header.Get(api.HeaderOutcome), Body: answer}, nil
+	return Answer{Status: resp.StatusCode, Outcome: resp.Header.Get(api.HeaderOutcome), Body: received}, nil
 }
 
 func jobPath(id job.ID) string {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -11,7 +11,7 @@
 	"github.com/cyclamentray/cyclamentray/client"
 )
 
-func TestRequest_OutcomeUnknownOnlyOnceSent(t *testing.T) {
+func TestRequest_OutcomeIsUnknownOnlyAfterConnecting(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	_, err := client.New(s.URL, "").Request(t.Context(), "POST", "billing", "x", "", nil)
 	must.Eq(t, apierr.OutcomeUnknown, apierr.KindOf(err))
--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -17,7 +17,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints the events of a job that the log files contain.
+// Execute prints the events of a batch job that are found in the log files.
 func (c *accountCommand) Execute([]string) error {
 	var logs []io.Reader
 	for _, path := range c.Args.Logs {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -126,5 +126,5 @@
 			return err
 		}
 	}
-	return addFailureDomain(parser, a)
+	return addFailureDomainCommands(parser, a)
 }
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -27,7 +27,7 @@
 	if c.Verbose {
 		level = log.InfoLevel
 	}
-	rec, err := c.setupRecorder()
+	recorder, err := c.setupRecorder()
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	}
 	defer func() { _ = d.Close() }()
 	if c.Once {
-		return d.Scenario(c.app.ctx, c.app.out, rec)
+		return d.Scenario(c.app.ctx, c.app.out, recorder)
 	}
 	return c.serveUntilInterrupted(d)
 }
@@ -53,9 +53,9 @@
 	if !c.Trace {
 		return nil, nil
 	}
-	rec := telemetry.NewRecorder()
-	_, err := telemetry.SetupTracing(c.app.ctx, telemetry.Tracing{Processors: []sdktrace.SpanProcessor{rec}})
-	return rec, err
+	recorder := telemetry.NewRecorder()
+	_, err := telemetry.SetupTracing(c.app.ctx, telemetry.Tracing{Processors: []sdktrace.SpanProcessor{recorder}})
+	return recorder, err
 }
 
 // serveUntilInterrupted applies the documents, prints addresses and tokens, and
--- a/internal/cli/documents.go
+++ b/internal/cli/documents.go
@@ -163,7 +163,7 @@
 	return c.app.print(reply, fmt.Sprintf("failure domain %s is %s at revision %d", c.Args.Name, state, reply.Revision))
 }
 
-func addFailureDomain(parser *flags.Parser, a *app) error {
+func addFailureDomainCommands(parser *flags.Parser, a *app) error {
 	group, err := parser.AddCommand("failure-domain", "Take a failure domain out of service or bring it back",
 		"Takes a failure domain out of service or brings it back.", &struct{}{})
 	if err != nil {
--- a/internal/cli/requests.go
+++ b/internal/cli/requests.go
@@ -16,6 +16,7 @@
 	}
 }
 
+// outcomeRan is the value of the header Cyclamentray-Outcome of a request that ran.
 const outcomeRan = "ran"
 
 type requestCommand struct {
--- a/internal/cost/cost_test.go
+++ b/internal/cost/cost_test.go
@@ -79,9 +79,9 @@
 // byte counters is excluded.
 func (d *deployment) measureDuring(roles [2]role, run func()) (out [2]windowUsage) {
 	var before, after [2]usage
-	var counters [2]map[string]float64
+	var countersBefore [2]map[string]float64
 	for i, r := range roles {
-		counters[i] = scrape(d.b, r.address)
+		countersBefore[i] = scrape(d.b, r.address)
 		before[i] = readUsage(d.b, r.pid)
 	}
 	run()
@@ -90,9 +90,9 @@
 	}
 	for i, r := range roles {
 		out[i] = usageBetween(before[i], after[i])
-		now := scrape(d.b, r.address)
-		out[i].platform = now["platform"] - counters[i]["platform"]
-		out[i].peers = now["peer"] - counters[i]["peer"]
+		countersAfter := scrape(d.b, r.address)
+		out[i].platform = countersAfter["platform"] - countersBefore[i]["platform"]
+		out[i].peers = countersAfter["peer"] - countersBefore[i]["peer"]
 	}
 	return out
 }
--- a/internal/cost/deployment_test.go
+++ b/internal/cost/deployment_test.go
@@ -282,9 +282,9 @@
 	out := map[string]float64{}
 	for scanner := bufio.NewScanner(resp.Body); scanner.Scan(); {
 		name, value, _ := strings.Cut(scanner.Text(), " ")
-		slice, _, found := strings.Cut(strings.TrimPrefix(name, "cyclamentray_"), "_bytes_total")
+		pkg, _, found := strings.Cut(strings.TrimPrefix(name, "cyclamentray_"), "_bytes_total")
 		if n, err := strconv.ParseFloat(value, 64); found && err == nil {
-			out[slice] += n
+			out[pkg] += n
 		}
 	}
 	return out
--- a/internal/cost/process_test.go
+++ b/internal/cost/process_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// ticksPerSecond is the number of clock ticks, the unit of processor time in
-// /proc/PID/stat, per second.
+// ticksPerSecond is the number of clock ticks per second. Clock ticks are the unit
+// of processor time in /proc/PID/stat.
 const ticksPerSecond = 100
 
 // usage is what a process has used since it started.
@@ -28,6 +28,8 @@
 	b.Helper()
 	u := usage{at: time.Now()}
 	stat := procFile(b, pid, "stat")
+	// The fields after the program's name, which may contain spaces. utime and stime
+	// are fields 14 and 15 of the line, and these start at field 3.
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	user, err := strconv.Atoi(fields[11])
 	must.NoError(b, err)
--- a/internal/countedconn/countedconn.go
+++ b/internal/countedconn/countedconn.go
@@ -14,8 +14,8 @@
 	in, out *metrics.Counter
 }
 
-// New wraps c so that its bytes are counted in set, in the metric name with the
-// label direction="in" or direction="out".
+// New wraps c so that set counts its bytes in two counters called name: received
+// bytes with the label direction="in", sent bytes with direction="out".
 func New(c net.Conn, set *metrics.Set, name string) net.Conn {
 	return &conn{
 		Conn: c,
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -48,9 +48,9 @@
 	known := strings.Join(names, "\n") + "\n"
 	page, err := os.ReadFile(filepath.Join(root, "docs/PROOFS.md"))
 	must.NoError(t, err)
-	for _, at := range testName.FindAllStringIndex(string(page), -1) {
-		name := string(page[at[0]:at[1]])
-		if !strings.HasPrefix(string(page[at[1]:]), "*") {
+	for _, loc := range testName.FindAllStringIndex(string(page), -1) {
+		name := string(page[loc[0]:loc[1]])
+		if !strings.HasPrefix(string(page[loc[1]:]), "*") {
 			name += "\n"
 		}
 		must.StrContains(t, "\n"+known, "\n"+name)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// fatalRecorder is a testing.TB whose Fatalf records the message and panics
-// instead of failing the test.
+// fatalRecorder is a testing.TB whose Fatalf records the format of the message and
+// panics instead of failing the test.
 type fatalRecorder struct {
 	testing.TB
 	message string
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -8,7 +8,7 @@
 )
 
 // Backoff is an exponential backoff: each wait after consecutive failures is twice
-// as long as the one before. It isn't safe for concurrent use.
+// as long as the one before. It is not safe for concurrent use.
 type Backoff struct {
 	Initial time.Duration // wait after the first failure
 	Max     time.Duration // limit of later waits
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -12,7 +12,7 @@
 )
 
 // Waits double up to Max and start again at Initial after Reset.
-func TestBackoff(t *testing.T) {
+func TestBackoff_DoublesUpToMaxUntilReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := pause.Backoff{Initial: 100 * time.Millisecond, Max: 300 * time.Millisecond}
 		for _, want := range []time.Duration{100, 200, 300, 300} {
@@ -28,7 +28,7 @@
 }
 
 // Wait returns at once when its context has ended.
-func TestBackoffEndsWithItsContext(t *testing.T) {
+func TestBackoff_WaitReturnsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	b := pause.Backoff{Initial: time.Hour, Max: time.Hour}
--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -65,11 +65,11 @@
 			return c.checkLiteral(v, l, f, path)
 		}
 	}
-	c.wrongType(v, f, path)
+	c.addTypeMistake(v, f, path)
 	return nil
 }
 
-func (c *checker) wrongType(v *hujson.Value, f *Field, path string) {
+func (c *checker) addTypeMistake(v *hujson.Value, f *Field, path string) {
 	c.addMistake(v.StartOffset, path, fmt.Sprintf("%s where %s is expected", kindName(v), withArticle(f.Type)), "write "+expectedText(f))
 }
 
@@ -137,7 +137,7 @@
 	case f.Type == Int && l.Kind() == '0':
 		return c.checkInteger(v, l, f, path)
 	}
-	c.wrongType(v, f, path)
+	c.addTypeMistake(v, f, path)
 	return nil
 }
 
--- a/internal/schema/field.go
+++ b/internal/schema/field.go
@@ -25,7 +25,7 @@
 	Unit     string   // unit of an integer, such as "ms"
 	Default  any      // used when the field is absent: a string, int or bool
 	Required bool     // the field must be present and, if it is a string, not be empty
-	Optional bool     // an object that may be absent; others are then treated as empty
+	Optional bool     // an object that may be absent; an absent object without it is checked as an empty one
 	Min, Max int      // range of an integer or of a list's length; both 0: not bounded
 	Enum     []string // allowed values of a string
 	Format   *Format  // format of a string
--- a/settings/check.go
+++ b/settings/check.go
@@ -13,7 +13,7 @@
 	mistakes []*apierr.Error
 }
 
-func (c *checker) add(field, message, remedy string) {
+func (c *checker) addMistake(field, message, remedy string) {
 	e := apierr.Invalid(field, message, remedy)
 	e.File = c.file
 	e.Line = c.lines[field]
@@ -28,7 +28,7 @@
 	c.checkKeyFiles("tls.http", s.TLS.HTTP, false)
 	c.checkKeyFiles("tls.peer", s.TLS.Peer, true)
 	if s.Trace.Exporter == ExportOTLP && s.Trace.Endpoint == "" {
-		c.add("trace.endpoint", "exporter otlp needs an endpoint", "write the collector's URL, such as http://192.0.2.9:4318/v1/traces")
+		c.addMistake("trace.endpoint", "exporter otlp needs an endpoint", "write the collector's URL, such as http://192.0.2.9:4318/v1/traces")
 	}
 	return c.mistakes
 }
@@ -50,15 +50,15 @@
 		return // the schema has already reported it
 	}
 	if ap.Addr().IsUnspecified() || (ap.Port() == 0 && *address != listen) {
-		c.add(field, *address+" is no address that others can reach", "write the host's own IP:port")
+		c.addMistake(field, *address+" is no address that others can reach", "write the host's own IP:port")
 	}
 }
 
 func (c *checker) checkKeyFiles(field string, k KeyFiles, mutual bool) {
 	if (k.CertFile == "") != (k.KeyFile == "") {
-		c.add(field, "certFile and keyFile go together", "set both or neither")
+		c.addMistake(field, "certFile and keyFile go together", "set both or neither")
 	}
 	if mutual && k.Enabled() && k.CAFile == "" {
-		c.add(field+".caFile", "entry hosts check each other's certificates against caFile", "name the file of the authority's certificates")
+		c.addMistake(field+".caFile", "entry hosts check each other's certificates against caFile", "name the file of the authority's certificates")
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -24,7 +24,7 @@
 	Listen    Addresses `json:"listen"`
 	Advertise Addresses `json:"advertise"`
 	Platform  Platform  `json:"platform"`
-	Seeds     []string  `json:"seeds"`               // peer addresses, IP:port, asked while the platform cannot be reached
+	Seeds     []string  `json:"seeds"`               // peer addresses, IP:port, asked for hosts and documents while the platform cannot be reached
 	Operators []string  `json:"operatorTokenHashes"` // SHA-256 of operators' tokens, lower-case hexadecimal
 	TLS       TLS       `json:"tls"`
 	Trace     Trace     `json:"trace"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -29,7 +29,7 @@
 
 func TestParse_Mistakes(t *testing.T) {
 	cases := []struct {
-		name, edit, with, want string
+		name, old, replacement, want string
 	}{
 		{"malformed", `"host": {`, `"host" {`, `s.hujson:2: malformed JSON: invalid character '{' after object name (column 10); write JSON; comments and trailing commas are allowed`},
 		{"unknown field", `"region"`, `"regoin": "x", "region"`, `s.hujson:2: host.regoin: unknown field; did you mean "region"?`},
@@ -49,7 +49,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(minimalSettings, c.edit, c.with, 1)
+			text := strings.Replace(minimalSettings, c.old, c.replacement, 1)
 			s, err := Parse("s.hujson", []byte(text))
 			must.Nil(t, s)
 			must.EqError(t, err, c.want)
--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -15,13 +15,13 @@
 
 // AsyncWriter writes log lines in the background from a bounded queue, so that a
 // slow or blocked output never blocks the callers. Lines that arrive while the
-// queue is full are dropped and counted; a line with their number is written
-// before the next line that is written. It is safe for concurrent use.
+// queue is full are dropped; their number is logged in a line of its own before
+// the next line is written. It is safe for concurrent use.
 type AsyncWriter struct {
 	out             io.Writer
 	queue           chan []byte
 	done            chan struct{}
-	unreportedDrops atomic.Uint64 // dropped since the last line about dropped lines
+	unreportedDrops atomic.Uint64 // dropped since the number was last logged
 	totalDrops      atomic.Uint64 // dropped or failed to write since the start
 	closeOnce       sync.Once
 }
@@ -66,13 +66,13 @@
 	}
 }
 
-// Close waits until all queued lines are written or limit is closed, whichever
+// Close waits until all queued lines are written or cancelled is closed, whichever
 // comes first. Write must not be called afterwards.
-func (w *AsyncWriter) Close(limit <-chan struct{}) {
+func (w *AsyncWriter) Close(cancelled <-chan struct{}) {
 	w.closeOnce.Do(func() { close(w.queue) })
 	select {
 	case <-w.done:
-	case <-limit:
+	case <-cancelled:
 	}
 }
 
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -1,6 +1,6 @@
 // Package telemetry sets up logging, tracing and request metrics. Its state is
-// the process-wide OpenTelemetry tracer provider that SetupTracing installs, and
-// the queues and recorded spans of the types below. Programs set it up when they
+// the process-wide OpenTelemetry tracer provider that SetupTracing installs, the
+// queue of each AsyncWriter and the spans of each Recorder. Programs set it up when they
 // start; servers and clients of other packages start spans with it.
 package telemetry
 
