--- a/election/election.go
+++ b/election/election.go
@@ -50,7 +50,7 @@
 	FailureDomain string
 	TTL           time.Duration // of the lease; 0: DefaultTTL
 	Now           func() time.Time
-	Random        *rand.Rand // nil: seeded at random; used by Run alone
+	Random        *rand.Rand // nil: seeded at random; not shared: only Run uses it
 	Logger        *log.Logger
 	Metrics       *metrics.Set
 }
@@ -71,7 +71,7 @@
 // Key returns the store key that a failure domain's scheduler holds under its lease.
 func Key(failureDomain string) string { return "cyclamentray/election/" + failureDomain }
 
-// Election campaigns for a failure domain's lease. It is safe for concurrent use.
+// Election campaigns for a failure domain's key. It is safe for concurrent use.
 type Election struct {
 	opts Options
 
@@ -79,8 +79,8 @@
 	current     heldTerm
 	scheduler   string        // host last seen to hold the key; empty: none or not known
 	resigned    chan struct{} // closed by Resign
-	resigning   bool
-	termChanged chan struct{} // closed and replaced when the term changes
+	resigning   bool          // Resign was called
+	termChanged chan struct{} // closed and replaced when a term begins or ends
 }
 
 // New returns an Election. This host takes part in it only while Run runs.
@@ -98,7 +98,7 @@
 }
 
 // Scheduler returns the name of the host last seen to hold the failure domain's
-// lease, or "" when none is known.
+// key, or "" when none is known.
 func (e *Election) Scheduler() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,7 +112,7 @@
 	return e.termChanged
 }
 
-// Run campaigns for the lease until ctx ends or Resign is called, then revokes any
+// Run campaigns for the key until ctx ends or Resign is called, then revokes any
 // lease it holds. It returns nil.
 func (e *Election) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -163,7 +163,8 @@
 	}
 }
 
-// campaign waits until the key is free and tries once to acquire it.
+// campaign waits until the key is free and tries once to acquire it. It returns the
+// lease that holds the key, or false if this host did not acquire it.
 func (e *Election) campaign(ctx context.Context) (kvstore.Lease, bool) {
 	if !e.waitUntilFree(ctx) {
 		return kvstore.Lease{}, false
@@ -224,9 +225,9 @@
 	return entry, err
 }
 
-// watchEntry waits for a change of the key for at most 1.5 TTLs, so that a watch
-// whose connection no longer delivers anything cannot delay a takeover for longer.
-// After that time-out it reads the key instead.
+// watchEntry waits until the key's version differs from after, for at most 1.5 TTLs,
+// so that a watch whose connection no longer delivers anything cannot delay a takeover
+// for longer. After that time-out it reads the key instead.
 func (e *Election) watchEntry(ctx context.Context, key string, after uint64) (kvstore.Entry, error) {
 	watchCtx, cancel := context.WithTimeout(ctx, e.opts.TTL*3/2)
 	defer cancel()
@@ -293,6 +294,7 @@
 	e.opts.Logger.Info(message, "failureDomain", e.opts.FailureDomain, "term", next.term)
 }
 
+// retryDelay returns a random delay of 1 to 2 renewal intervals.
 func (e *Election) retryDelay() time.Duration {
 	return e.opts.TTL/renewalsPerTTL + time.Duration(e.opts.Random.Int64N(int64(e.opts.TTL/renewalsPerTTL)))
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -19,7 +19,8 @@
 
 const ttl = 400 * time.Millisecond
 
-// faultyStore is one host's connection to the store, with injected faults.
+// faultyStore is one host's connection to the store, with injected faults. They do not
+// affect Acquire and Watch.
 type faultyStore struct {
 	kvstore.Store
 	unreachable atomic.Bool  // calls fail without delay
@@ -64,6 +65,7 @@
 	return s.Store.Revoke(ctx, l)
 }
 
+// host is a candidate of the election with its own connection to the store.
 type host struct {
 	*election.Election
 	store *faultyStore
@@ -110,7 +112,8 @@
 			continue
 		}
 		if found != nil {
-			if again, _, still := found.Term(); still && again == term {
+			// found may have lost its term since it was asked.
+			if foundTerm, _, stillHeld := found.Term(); stillHeld && foundTerm == term {
 				c.t.Fatalf("two hosts hold a term at once: terms %d and %d", term, t)
 			}
 		}
--- a/election/term.go
+++ b/election/term.go
@@ -6,7 +6,8 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// heldTerm is a term for which this host holds the lease. The zero value is no term.
+// heldTerm is a term of this host and the lease under which the host holds the key.
+// The zero value is no term.
 type heldTerm struct {
 	lease      kvstore.Lease
 	term       uint64
--- a/entryhost/badinput_test.go
+++ b/entryhost/badinput_test.go
@@ -16,8 +16,8 @@
 
 const (
 	operatorToken = dev.OperatorToken
-	filerToken    = "mwambao-mwambao"
-	depotToken    = "consorcio-playa-kits"
+	filerToken    = "mwambao-mwambao"      // of a caller of organisation mwambao
+	partnerToken  = "consorcio-playa-kits" // of a caller of organisation playa-kits
 
 	goodJob = `{"id": {"organisation": "mwambao", "service": "levy-filings", "name": "j1"}, "template": "reconcile",
 	  "shape": {"tasks": 1, "acceleratorsPerTask": 8, "adjacency": "rack"}, "declaredRunNanos": 1000000000}`
@@ -83,14 +83,14 @@
 		{"unknown template", "POST /v1/jobs", filerToken, jobWith(`reconcile`, `x`), apierr.InvalidInput},
 		{"unknown service of a job", "POST /v1/jobs", filerToken, jobWith(`levy-filings`, `x`), apierr.NotFound},
 		{"unknown organisation", "POST /v1/jobs", operatorToken, jobWith(`mwambao`, `x`), apierr.NotFound},
-		{"another organisation's job", "POST /v1/jobs", depotToken, goodJob, apierr.Forbidden},
-		{"job of an organisation that does not exist", "POST /v1/jobs", depotToken, jobWith(`mwambao`, `x`), apierr.Forbidden},
+		{"another organisation's job", "POST /v1/jobs", partnerToken, goodJob, apierr.Forbidden},
+		{"job of an organisation that does not exist", "POST /v1/jobs", partnerToken, jobWith(`mwambao`, `x`), apierr.Forbidden},
 		{"two jobs in one body", "POST /v1/jobs", filerToken, goodJob + goodJob, apierr.InvalidInput},
 		{"absent job", "GET /v1/jobs/mwambao/levy-filings/absent", filerToken, "", apierr.NotFound},
 		{"absent job cancelled", "DELETE /v1/jobs/mwambao/levy-filings/absent", filerToken, "", apierr.NotFound},
 		{"unknown state", "GET /v1/jobs?state=sleeping", filerToken, "", apierr.InvalidInput},
 		{"unknown service", "GET /v1/services/x/requests/y", filerToken, "", apierr.NotFound},
-		{"another organisation's service", "GET /v1/services/levy-filings/requests/y", depotToken, "", apierr.NotFound},
+		{"another organisation's service", "GET /v1/services/levy-filings/requests/y", partnerToken, "", apierr.NotFound},
 		{"malformed edit", "POST /v1/config", operatorToken, `{"documents": [{]}`, apierr.InvalidInput},
 		{"oversize edit", "POST /v1/config", operatorToken, huge, apierr.TooLarge},
 		{"empty edit", "POST /v1/config", operatorToken, applyBody(``), apierr.InvalidInput},
@@ -129,13 +129,13 @@
 	must.Eq(t, http.StatusOK, status, must.Sprintf("%s", body))
 	const theirs, absent = "/v1/jobs/mwambao/levy-filings/j1", "/v1/jobs/mwambao/levy-filings/j2"
 	for _, call := range []struct{ method, suffix string }{{"GET", ""}, {"GET", "/explain"}, {"DELETE", ""}} {
-		status, body := send(t, call.method, url+theirs+call.suffix, depotToken, "")
-		_, missing := send(t, call.method, url+absent+call.suffix, depotToken, "")
+		status, body := send(t, call.method, url+theirs+call.suffix, partnerToken, "")
+		_, missing := send(t, call.method, url+absent+call.suffix, partnerToken, "")
 		must.Eq(t, http.StatusNotFound, status)
 		must.Eq(t, strings.ReplaceAll(string(missing), "j2", "j1"), string(body))
 	}
-	_, list := send(t, "GET", url+"/v1/jobs", depotToken, "")
+	_, list := send(t, "GET", url+"/v1/jobs", partnerToken, "")
 	must.StrNotContains(t, string(list), "j1")
 	_, own := send(t, "GET", url+theirs, filerToken, "")
-	must.StrNotContains(t, string(own), `"cancelBy"`)
+	must.StrNotContains(t, string(own), `"cancelBy"`) // the other organisation's DELETE had no effect
 }
--- a/entryhost/components.go
+++ b/entryhost/components.go
@@ -36,6 +36,8 @@
 	intake     *intake.Intake
 }
 
+// newComponents builds the components of h. Some are passed functions that use
+// components which are built after them.
 func newComponents(h *Host) (*components, error) {
 	c := &components{}
 	peerOptions := peer.Options{
--- a/entryhost/tls_test.go
+++ b/entryhost/tls_test.go
@@ -104,8 +104,9 @@
 
 // Entry hosts whose certificates have one authority exchange heartbeats. Guards against
 // accepting heartbeats from a host whose certificate has another authority, although
-// the host list names it, and against plain text on the peer listener.
-func TestTLS_BetweenEntryHostsAndTowardsCallers(t *testing.T) {
+// the host list names it, and against plain text on the peer listener. The caller reads
+// the state over TLS too.
+func TestTLS_OnlyHostsOfOneAuthorityExchangeHeartbeats(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	store := kv.New()
 	kvServer := httptest.NewServer(store)
--- a/entryhost/top.go
+++ b/entryhost/top.go
@@ -76,15 +76,15 @@
 		status.Workers++
 		status.Accelerators += usableAccelerators(w)
 	}
-	sum, scheduler, err := h.schedulerSummary(ctx, fd.Name)
+	summary, scheduler, err := h.schedulerSummary(ctx, fd.Name)
 	status.Scheduler = scheduler
 	if err != nil {
 		status.UnknownReason = err.Error()
 		return status
 	}
-	status.Queued = sum.Queued
-	status.Running = sum.Running
-	for _, d := range sum.Deficits {
+	status.Queued = summary.Queued
+	status.Running = summary.Running
+	for _, d := range summary.Deficits {
 		status.Deficits = append(status.Deficits, describeDeficit(d))
 	}
 	return status
@@ -101,16 +101,16 @@
 
 // schedulerSummary returns the summary and the name of a failure domain's scheduler,
 // which may be this host.
-func (h *Host) schedulerSummary(ctx context.Context, failureDomain string) (sum gang.Summary, scheduler string, err error) {
+func (h *Host) schedulerSummary(ctx context.Context, failureDomain string) (summary gang.Summary, scheduler string, err error) {
 	found, ok := h.components.schedulerOf(failureDomain)
 	switch {
 	case !ok:
-		return sum, "", fmt.Errorf("no scheduler is known; see the page on platform outages")
+		return summary, "", fmt.Errorf("no scheduler is known; see the page on platform outages")
 	case found.Name == h.opts.Settings.Host.Name:
 		return h.components.scheduler.Summary(), found.Name, nil
 	}
-	sum, err = h.components.scheduler.SummaryOf(ctx, found.PeerAddress)
-	return sum, found.Name, err
+	summary, err = h.components.scheduler.SummaryOf(ctx, found.PeerAddress)
+	return summary, found.Name, err
 }
 
 func describeDeficit(d placement.Deficit) string {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -23,7 +23,7 @@
 	listPollInterval        = 3 * time.Second
 	listReadTimeout         = 2 * time.Second
 	listWatchTimeout        = 15 * time.Second
-	heartbeatTimeout        = time.Second
+	heartbeatTimeout        = time.Second // also of a request to a seed for its host list
 )
 
 // Status is the state that an entry host reports in its heartbeats, for operators and
@@ -47,8 +47,8 @@
 // Options configures a Membership.
 type Options struct {
 	Self        kvstore.Host
-	Incarnation string // changes when the process restarts
-	Lister      kvstore.HostLister
+	Incarnation string             // changes when the process restarts
+	Lister      kvstore.HostLister // watched instead of polled if it is a kvstore.HostWatcher
 	Peers       peer.Caller
 	Seeds       []string      // peer addresses to ask until a host list has been read
 	Status      func() Status // this host's status; nil: the zero Status
@@ -74,10 +74,10 @@
 
 	mu         sync.Mutex
 	table      *table
-	published  time.Time
+	published  time.Time // when the current view was published
 	draining   bool
-	listed     bool // a host list has been read, from the platform or from a peer
-	goroutines sync.WaitGroup
+	listed     bool           // a host list has been read, from the platform or from a peer
+	goroutines sync.WaitGroup // started by Run; not guarded by mu
 }
 
 // New returns a Membership whose view holds only this host at first. Call Run to
@@ -143,8 +143,8 @@
 	m.table.recordContact(m.opts.Now(), name)
 }
 
-// AnnounceDrain marks this host as draining and sends its peers a heartbeat that says
-// so at the next tick.
+// AnnounceDrain marks this host as draining. At the next tick, Run sends every other
+// entry host a heartbeat that says so.
 func (m *Membership) AnnounceDrain() {
 	m.mu.Lock()
 	m.draining = true
@@ -170,6 +170,8 @@
 	return nil
 }
 
+// tick starts the heartbeat exchanges that are due and publishes a new view once the
+// current one is publishInterval old.
 func (m *Membership) tick(ctx context.Context) {
 	m.mu.Lock()
 	now := m.opts.Now()
@@ -183,7 +185,7 @@
 	}
 }
 
-// publish replaces the current view by the table's. The caller holds mu.
+// publish makes the current view of the table available to View. The caller holds mu.
 func (m *Membership) publish() {
 	m.published = m.opts.Now()
 	v := m.table.view(m.published)
@@ -222,29 +224,29 @@
 // the list if the lister can, since a watched list is sent only when it has changed,
 // which matters at 1000 hosts; otherwise it polls.
 func (m *Membership) followList(ctx context.Context) {
-	watcher, watches := m.opts.Lister.(kvstore.HostWatcher)
+	watcher, canWatch := m.opts.Lister.(kvstore.HostWatcher)
 	var index uint64
 	for ctx.Err() == nil {
 		var err error
-		if watches && index > 0 {
+		if canWatch && index > 0 {
 			index, err = m.watchList(ctx, watcher, index)
 		} else {
 			index, err = m.readList(ctx, watcher)
 		}
-		if err != nil || !watches {
+		if err != nil || !canWatch {
 			pause.For(ctx, listPollInterval)
 		}
 	}
 }
 
 // watchList waits for a change of the host list and returns the index to watch from
-// next. If the list is unchanged, it counts as one more read of the same list.
+// next. A reply that says that the list is unchanged counts as one more read of it.
 func (m *Membership) watchList(ctx context.Context, watcher kvstore.HostWatcher, index uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, listWatchTimeout)
 	defer cancel()
 	hosts, next, err := watcher.WatchHosts(ctx, index)
 	if err != nil {
-		return 0, m.listFailed(ctx, err)
+		return 0, m.handleListError(ctx, err)
 	}
 	if hosts != nil {
 		m.applyList(hosts)
@@ -254,6 +256,8 @@
 	return next, nil
 }
 
+// readList reads the host list and returns the index to watch from next, which is 0 if
+// watcher is nil.
 func (m *Membership) readList(ctx context.Context, watcher kvstore.HostWatcher) (index uint64, err error) {
 	callCtx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
@@ -264,15 +268,15 @@
 		hosts, err = m.opts.Lister.Hosts(callCtx)
 	}
 	if err != nil {
-		return 0, m.listFailed(ctx, err)
+		return 0, m.handleListError(ctx, err)
 	}
 	m.applyList(hosts)
 	return index, nil
 }
 
-// listFailed counts a failed read of the host list and returns err. If no list has
+// handleListError counts a failed read of the host list and returns err. If no list has
 // been read yet, it asks the seeds for theirs.
-func (m *Membership) listFailed(ctx context.Context, err error) error {
+func (m *Membership) handleListError(ctx context.Context, err error) error {
 	m.opts.Metrics.GetOrCreateCounter("cyclamentray_membership_list_failures_total").Inc()
 	m.mu.Lock()
 	listed := m.listed
@@ -283,8 +287,8 @@
 	return err
 }
 
-// readListFromSeeds copies the view of the first seed that answers with one. A host
-// that boots during a platform outage has no other source of hosts.
+// readListFromSeeds copies the host list of the first seed that has more than one host
+// in view. A host that boots during a platform outage has no other source of hosts.
 func (m *Membership) readListFromSeeds(ctx context.Context) {
 	for _, address := range m.opts.Seeds {
 		callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -303,6 +307,7 @@
 	defer m.mu.Unlock()
 	m.listed = true
 	m.table.applyList(m.opts.Now(), hosts)
+	// This host stays in its own view even if the list lacks it.
 	m.table.upsert(m.opts.Now(), m.opts.Self).absentReads = 0
 	m.publish()
 }
@@ -315,6 +320,7 @@
 	return m.listed
 }
 
+// confirmList records one more read of an unchanged host list.
 func (m *Membership) confirmList() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -30,39 +30,41 @@
 	return *l.hosts.Load(), nil
 }
 
-type node struct {
+// testHost is a running Membership with its peer server.
+type testHost struct {
 	*membership.Membership
 	self   kvstore.Host
 	server *peer.Server
 	stop   func()
 }
 
-func startNode(t *testing.T, name string, l *lister, seeds ...string) *node {
+func startTestHost(t *testing.T, name string, l *lister, seeds ...string) *testHost {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	n := &node{server: peer.NewServer(peer.Options{})}
-	n.self = kvstore.Host{Name: name, Kind: kvstore.EntryHost, FailureDomain: "n1", PeerAddress: listener.Addr().String()}
+	h := &testHost{server: peer.NewServer(peer.Options{})}
+	h.self = kvstore.Host{Name: name, Kind: kvstore.EntryHost, FailureDomain: "n1", PeerAddress: listener.Addr().String()}
 	pool := peer.NewPool(peer.Options{})
-	n.Membership = membership.New(membership.Options{Self: n.self, Incarnation: name, Lister: l, Peers: pool, Seeds: seeds})
-	must.NoError(t, n.RegisterPeer(n.server))
+	h.Membership = membership.New(membership.Options{Self: h.self, Incarnation: name, Lister: l, Peers: pool, Seeds: seeds})
+	must.NoError(t, h.RegisterPeer(h.server))
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { must.NoError(t, n.server.Serve(listener)) })
-	running.Go(func() { must.NoError(t, n.Run(ctx)) })
-	n.stop = sync.OnceFunc(func() {
+	running.Go(func() { must.NoError(t, h.server.Serve(listener)) })
+	running.Go(func() { must.NoError(t, h.Run(ctx)) })
+	h.stop = sync.OnceFunc(func() {
 		stop()
 		_ = pool.Close()
-		_ = n.server.Close()
+		_ = h.server.Close()
 		running.Wait()
 	})
-	return n
+	return h
 }
 
-func (n *node) peers() map[string]bool {
-	out := map[string]bool{} // whether each peer is leaving, by name
-	for _, h := range n.View().Peers() {
-		out[h.Name] = h.Leaving
+// peers returns, by name, whether each peer in view is leaving.
+func (h *testHost) peers() map[string]bool {
+	out := map[string]bool{}
+	for _, p := range h.View().Peers() {
+		out[p.Name] = p.Leaving
 	}
 	return out
 }
@@ -71,14 +73,14 @@
 	defer goleak.VerifyNone(t)
 	l := &lister{}
 	l.hosts.Store(&[]kvstore.Host{})
-	a := startNode(t, "a", l)
+	a := startTestHost(t, "a", l)
 	defer a.stop()
 	l.hosts.Store(&[]kvstore.Host{a.self, {Name: "w1", Kind: kvstore.Worker, FailureDomain: "n1"}})
-	b := startNode(t, "b", l, a.self.PeerAddress)
+	b := startTestHost(t, "b", l, a.self.PeerAddress)
 	defer b.stop()
 	eventually(t, func() bool { return len(a.View().Hosts) == 3 }) // b is in the view although the list lacks it
 	l.down.Store(true)
-	c := startNode(t, "c", l, a.self.PeerAddress)
+	c := startTestHost(t, "c", l, a.self.PeerAddress)
 	defer c.stop()
 
 	eventually(t, func() bool { return len(c.peers()) == 2 && len(a.peers()) == 2 && len(b.peers()) == 2 })
--- a/membership/table.go
+++ b/membership/table.go
@@ -11,9 +11,10 @@
 
 const (
 	// silenceTimeout is how long after the last contact an entry host counts as silent.
+	// Across failure domains remoteHeartbeatInterval is added to it.
 	silenceTimeout = 3 * time.Second
-	// absentGrace and minAbsentReads are for how long, and in how many consecutive reads
-	// of the host list, a host must be absent before it is evicted from the view.
+	// A host is evicted from the view only when it has been absent from the host list
+	// for absentGrace and in minAbsentReads consecutive reads.
 	absentGrace    = 10 * time.Second
 	minAbsentReads = 2
 	// massAbsenceGrace replaces absentGrace when the list lacks many hosts at once, which
@@ -82,6 +83,8 @@
 	t.deleteLongAbsent(now)
 }
 
+// upsert sets the host of the record with h's name, which it adds if there is none, and
+// returns the record.
 func (t *table) upsert(now time.Time, h kvstore.Host) *record {
 	r := t.records[h.Name]
 	if r == nil {
@@ -92,8 +95,10 @@
 	return r
 }
 
-// applyHeartbeat applies a heartbeat or the reply to one. What an entry host reports of
-// itself takes precedence over the list. It returns whether the view changes.
+// applyHeartbeat applies a heartbeat or the reply to one, and reports whether the view
+// changes. What an entry host reports of itself takes precedence over the list: once it
+// has reported that it drains, it counts as draining until it restarts, which changes
+// its incarnation.
 func (t *table) applyHeartbeat(now time.Time, b Beat) (changed bool) {
 	if b.Host.Name == "" || b.Host.Name == t.self.Name {
 		return false
@@ -120,8 +125,8 @@
 }
 
 // takeDuePeers returns the entry hosts to which a heartbeat is due, ordered by name, and
-// records it as sent. No heartbeat is due to a host from which one arrived within the
-// interval, so that only one side of each pair sends.
+// records it as sent. Unless this host's state has changed, no heartbeat is due to a host
+// from which one arrived within the interval, so that only one side of each pair sends.
 func (t *table) takeDuePeers(now time.Time) []kvstore.Host {
 	var out []kvstore.Host
 	for _, r := range t.records {
@@ -156,7 +161,7 @@
 }
 
 // evicted reports whether the host is left out of the view. massAbsence says that the
-// list lacks many hosts of its group.
+// list lacks many hosts of one of its groups.
 func (r *record) evicted(now time.Time, massAbsence bool) bool {
 	if r.absentReads < minAbsentReads || now.Sub(r.lastContact) < contactValidity {
 		return false
@@ -196,7 +201,8 @@
 	return []hostGroup{{h.Kind, h.FailureDomain}, {"", h.FailureDomain}}
 }
 
-// massAbsences returns the groups of which the list lacks many hosts.
+// massAbsences returns, by group, whether the list lacks many hosts of it. It
+// leaves out groups without absent hosts.
 func (t *table) massAbsences() map[hostGroup]bool {
 	if !t.anyAbsent() {
 		return nil
@@ -210,11 +216,11 @@
 			}
 		}
 	}
-	mass := map[hostGroup]bool{}
+	massAbsent := map[hostGroup]bool{}
 	for g, n := range absent {
-		mass[g] = n > massAbsenceFloor && n*massAbsenceDivisor > known[g]
+		massAbsent[g] = n > massAbsenceFloor && n*massAbsenceDivisor > known[g]
 	}
-	return mass
+	return massAbsent
 }
 
 func (t *table) anyAbsent() bool {
@@ -226,22 +232,23 @@
 	return false
 }
 
-func inMassAbsence(h kvstore.Host, mass map[hostGroup]bool) bool {
+// inMassAbsence reports whether the list lacks many hosts of one of h's groups.
+func inMassAbsence(h kvstore.Host, massAbsent map[hostGroup]bool) bool {
 	for _, g := range groupsOf(h) {
-		if mass[g] {
+		if massAbsent[g] {
 			return true
 		}
 	}
 	return false
 }
 
-// view returns the view at now.
+// view returns the view at now: all known hosts that are not evicted.
 func (t *table) view(now time.Time) *View {
 	v := &View{Self: t.self, Silent: map[string]bool{}, Hosts: make([]kvstore.Host, 0, len(t.records))}
-	mass := t.massAbsences()
+	massAbsent := t.massAbsences()
 	for _, name := range slices.Sorted(maps.Keys(t.records)) {
 		r := t.records[name]
-		if r.absentReads > 0 && r.evicted(now, inMassAbsence(r.host, mass)) {
+		if r.absentReads > 0 && r.evicted(now, inMassAbsence(r.host, massAbsent)) {
 			continue
 		}
 		h := r.host
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -89,6 +89,7 @@
 	onFailure func() // called when a read or write fails: the connection cannot be used again
 }
 
+// WriteRequest implements rpc.ClientCodec.
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
 	e := body.(envelope)
 	h := requestHeader{Method: r.ServiceMethod, Seq: r.Seq}
@@ -104,6 +105,7 @@
 	return err
 }
 
+// ReadResponseHeader implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	var h responseHeader
 	if err := c.dec.Decode(&h); err != nil {
@@ -114,6 +116,7 @@
 	return nil
 }
 
+// ReadResponseBody implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseBody(body any) error {
 	err := c.dec.Decode(body)
 	if err != nil {
@@ -122,6 +125,7 @@
 	return err
 }
 
+// Close implements rpc.ClientCodec.
 func (c *clientCodec) Close() error { return c.conn.Close() }
 
 // serverCall is the state of a request that is being served.
@@ -149,6 +153,7 @@
 	return &serverCodec{stream: newStream(conn), host: host, ctx: ctx, cancel: cancel, calls: make(map[uint64]serverCall)}
 }
 
+// ReadRequestHeader implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	var h requestHeader
 	if err := c.dec.Decode(&h); err != nil {
@@ -174,6 +179,7 @@
 	c.calls[h.Seq] = serverCall{ctx: ctx, cancel: cancel, span: span}
 }
 
+// ReadRequestBody implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestBody(body any) error {
 	if err := c.dec.Decode(body); err != nil {
 		return err
@@ -187,6 +193,7 @@
 	return nil
 }
 
+// WriteResponse implements rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	c.endCall(r.Seq, r.Error)
 	return c.send(time.Now().Add(responseWriteTimeout), responseHeader{Seq: r.Seq, Error: r.Error}, body)
@@ -209,6 +216,7 @@
 	call.cancel()
 }
 
+// Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error {
 	c.cancel()
 	return c.conn.Close()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -64,7 +64,7 @@
 	return p, l.(*net.TCPListener)
 }
 
-func TestCallTimesOutAndTheNextUsesAFreshConnection(t *testing.T) {
+func TestCallTimesOutAndTheNextSucceeds(t *testing.T) {
 	e := &Echo{ended: make(chan error, 1)}
 	p, l := startEchoServer(t, e)
 	address := l.Addr().String()
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -27,7 +27,7 @@
 
 	mu     sync.Mutex
 	closed bool
-	conns  map[string]*pooledConn
+	conns  map[string]*pooledConn // by peer address; without retired connections
 }
 
 // NewPool returns a Pool without connections; it dials a peer at the first call.
@@ -43,7 +43,7 @@
 type pooledConn struct {
 	ready    chan struct{} // closed when the dial has ended
 	client   *rpc.Client   // set before ready is closed; nil if the dial failed
-	err      error
+	err      error         // of the dial; set before ready is closed
 	inFlight int
 	retired  bool
 }
@@ -87,6 +87,7 @@
 		}
 		return err
 	case <-ctx.Done():
+		// The connection may no longer deliver anything, so later calls use a new one.
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			p.retire(address, pc)
 		}
@@ -165,6 +166,7 @@
 	return pc, nil
 }
 
+// dial connects pc to address, or sets pc.err if that fails, and then closes pc.ready.
 func (p *Pool) dial(address string, pc *pooledConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.opts.Timeout)
 	defer cancel()
@@ -237,7 +239,7 @@
 			if pc.client != nil {
 				go pc.client.Close()
 			}
-		default:
+		default: // still dialling; closed by closeIfUnused after the dial
 		}
 	}
 	return nil
--- a/peer/server.go
+++ b/peer/server.go
@@ -20,7 +20,7 @@
 	closed    bool
 	listeners map[net.Listener]bool
 	conns     map[net.Conn]bool
-	serving   sync.WaitGroup
+	serving   sync.WaitGroup // one for each connection that is being served
 }
 
 // NewServer returns a Server without services.
@@ -53,6 +53,8 @@
 	}
 }
 
+// addListener adds l to the listeners that Close closes. It returns false if the server
+// is closed already.
 func (s *Server) addListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
