--- a/batch/intake/intake_test.go
+++ b/batch/intake/intake_test.go
@@ -74,8 +74,8 @@
 	}{
 		{"stored", []keyspace.Outcome{keyspace.Served}, "", 200 * time.Millisecond},
 		{"store unavailable", []keyspace.Outcome{keyspace.Refused}, intake.NotAccepted, 500 * time.Millisecond},
-		{"response lost, then stored", []keyspace.Outcome{keyspace.Lost, keyspace.Served}, "", 500 * time.Millisecond},
-		{"response lost, then store unavailable", []keyspace.Outcome{keyspace.Lost, keyspace.Refused}, intake.OutcomeUnknown, callerTimeout},
+		{"response lost, then stored", []keyspace.Outcome{keyspace.AnswerLost, keyspace.Served}, "", 500 * time.Millisecond},
+		{"response lost, then store unavailable", []keyspace.Outcome{keyspace.AnswerLost, keyspace.Refused}, intake.OutcomeUnknown, callerTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			tries := 0
@@ -143,7 +143,7 @@
 		if c.Write {
 			writes++
 		}
-		return keyspace.Lost
+		return keyspace.AnswerLost
 	})
 	in.StoreUnreachable = func() bool { return true }
 	target, err := in.Resolve("h", "/a/0123456789abcdef", "k1")
--- a/batch/scheduler/advice_test.go
+++ b/batch/scheduler/advice_test.go
@@ -104,7 +104,7 @@
 		w.run(50 * time.Millisecond)
 		for _, id := range w.allRunners() {
 			if id != "r0-1" && id != "r3-2" {
-				must.Eq(t, 0, w.pool.Runner(id).Running(), must.Sprint(id))
+				must.Eq(t, 0, w.pool.Runner(id).CountRuns(), must.Sprint(id))
 			}
 		}
 	}
--- a/batch/scheduler/decide_test.go
+++ b/batch/scheduler/decide_test.go
@@ -60,7 +60,7 @@
 	w.run(2500 * time.Millisecond)
 	for i := range 3 {
 		task := batch.TaskID{Job: "urgent", Index: i}
-		must.Eq(t, 1, w.pool.Running(task)+w.doneCount(task), must.Sprint(task))
+		must.Eq(t, 1, w.pool.CountTaskRuns(task)+w.doneCount(task), must.Sprint(task))
 	}
 }
 
@@ -81,8 +81,8 @@
 	w.run(15 * time.Second)
 	w.submit(batch.Job{ID: "short", Organisation: "two", Stretch: 1.5, Steps: []batch.Step{gang(1, 1, 500*time.Millisecond)}}, 500*time.Millisecond, false)
 	w.run(5 * time.Second)
-	must.Eq(t, 1, w.pool.Running(batch.TaskID{Job: "long0"}))
-	must.Eq(t, 1, w.pool.Running(batch.TaskID{Job: "long1"}))
+	must.Eq(t, 1, w.pool.CountTaskRuns(batch.TaskID{Job: "long0"}))
+	must.Eq(t, 1, w.pool.CountTaskRuns(batch.TaskID{Job: "long1"}))
 	must.Eq(t, batch.State(""), w.state("short"))
 	w.run(60 * time.Second)
 	must.Eq(t, batch.Completed, w.state("short"))
@@ -146,7 +146,7 @@
 				w.submit(singleTaskJob("resumable", onSlow, true), 40*time.Second, false)
 				w.run(time.Second)
 			}
-			must.Eq(t, onSlow, w.pool.Runner("r0-2").Running()+w.pool.Runner("r0-5").Running())
+			must.Eq(t, onSlow, w.pool.Runner("r0-2").CountRuns()+w.pool.Runner("r0-5").CountRuns())
 			w.submit(batch.Job{ID: "urgent", Stretch: 1.5, TargetLatency: 250 * time.Millisecond, Steps: []batch.Step{gang(1, 8, 3*time.Second)}}, 3*time.Second, false)
 			w.run(4750 * time.Millisecond) // its target; a slow runner needs 4.8 s
 			must.Eq(t, batch.Completed, w.state("urgent"))
@@ -195,7 +195,7 @@
 	w.submit(batch.Job{ID: "stuck", Steps: []batch.Step{gang(1, 8, time.Second)}, Stretch: 1.5}, time.Second, false)
 	w.run(time.Second)
 	on := "r0-0"
-	if w.pool.Runner("r0-0").Running() == 0 {
+	if w.pool.Runner("r0-0").CountRuns() == 0 {
 		on = "r0-1"
 	}
 	other := map[string]string{"r0-0": "r0-1", "r0-1": "r0-0"}[on]
@@ -239,8 +239,8 @@
 	labelled.Label = "rack0"
 	w.submit(batch.Job{ID: "labelled", Priority: 1, Steps: []batch.Step{labelled}}, time.Second, false)
 	w.run(8 * time.Second)
-	must.Eq(t, 2, w.pool.Runner("r1-1").Running())
-	must.Eq(t, 0, w.pool.Runner("r0-0").Running()+w.pool.Runner("r0-1").Running()+w.pool.Runner("r1-0").Running())
+	must.Eq(t, 2, w.pool.Runner("r1-1").CountRuns())
+	must.Eq(t, 0, w.pool.Runner("r0-0").CountRuns()+w.pool.Runner("r0-1").CountRuns()+w.pool.Runner("r1-0").CountRuns())
 	must.Eq(t, batch.State(""), w.state("labelled"))
 }
 
@@ -284,8 +284,8 @@
 	w.run(100 * time.Millisecond)
 	placed := 0
 	for _, id := range w.allRunners() {
-		placed += w.pool.Runner(id).Running()
-		must.LessEq(t, 8, w.pool.Runner(id).Running())
+		placed += w.pool.Runner(id).CountRuns()
+		must.LessEq(t, 8, w.pool.Runner(id).CountRuns())
 	}
 	must.Eq(t, 190, placed)
 }
--- a/batch/scheduler/explore_test.go
+++ b/batch/scheduler/explore_test.go
@@ -41,7 +41,7 @@
 // busiest returns the runner with the most running tasks.
 func (w *world) busiest() string {
 	return slices.MaxFunc(w.allRunners(), func(a, b string) int {
-		return w.pool.Runner(a).Running() - w.pool.Runner(b).Running()
+		return w.pool.Runner(a).CountRuns() - w.pool.Runner(b).CountRuns()
 	})
 }
 
--- a/batch/scheduler/longrunning_test.go
+++ b/batch/scheduler/longrunning_test.go
@@ -33,7 +33,7 @@
 func (w *world) runsOf(job string) map[string]int {
 	out := make(map[string]int)
 	for _, id := range w.allRunners() {
-		out[id] = w.pool.RunningOf(id, job)
+		out[id] = w.pool.CountJobRuns(id, job)
 	}
 	return out
 }
--- a/batch/scheduler/world_test.go
+++ b/batch/scheduler/world_test.go
@@ -87,10 +87,10 @@
 		cancelledAt: make(map[string]steady.Time), completedAt: make(map[string]steady.Time),
 	}
 	w.pool = runner.New(runner.Options{
-		GangTimeout: worldGangTimeout,
-		Describe:    func(id batch.TaskID, _ string) runner.Task { return w.stepTasks[stepName(id.Job, id.Step)] },
-		Started:     w.checkStart,
-		Permits:     w.permits,
+		GangTimeout:    worldGangTimeout,
+		DescribeTask:   func(id batch.TaskID, _ string) runner.Task { return w.stepTasks[stepName(id.Job, id.Step)] },
+		OnStart:        w.checkStart,
+		HasValidTicket: w.permits,
 	})
 	return w
 }
@@ -131,7 +131,7 @@
 		j.Stretch = 3
 	}
 	for i, s := range j.Steps {
-		task := runner.Task{Request: s.ReservedResources(), Work: work, Fails: fails, Guarded: true}
+		task := runner.Task{Request: s.ReservedResources(), Work: work, Fails: fails, ChecksCapacity: true}
 		if s.Gang {
 			task.GangSize = s.Tasks
 		}
@@ -268,7 +268,7 @@
 	if w.acknowledgeUnrecorded {
 		acknowledged = 1 << 40
 	}
-	due := w.now.Sub(w.lastHold[id]) >= holdInterval || w.pool.HasEnds(id, acknowledged) && w.now.Sub(w.lastHold[id]) >= 2*worldTick
+	due := w.now.Sub(w.lastHold[id]) >= holdInterval || w.pool.HasUnacknowledgedEnds(id, acknowledged) && w.now.Sub(w.lastHold[id]) >= 2*worldTick
 	if !due {
 		return
 	}
@@ -392,7 +392,7 @@
 // before its due time.
 func (w *world) checkStart(now steady.Time, on string, task batch.TaskID, attempt int) {
 	w.starts++
-	if n := w.pool.Running(task); n != 1 {
+	if n := w.pool.CountTaskRuns(task); n != 1 {
 		w.reportViolation("%d runs of %v at %v, attempt %d on %s", n, task, now, attempt, on)
 	}
 	if _, again := w.doneAt[task]; again {
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -181,7 +181,7 @@
 		for _, h := range c.hosts {
 			injectFault(h.proxy, n)
 			time.Sleep(2 * leaseTTL)
-			h.proxy.Heal()
+			h.proxy.ClearFaults()
 		}
 	}
 	cancel()
@@ -198,15 +198,15 @@
 func injectFault(p *faultproxy.Proxy, n int) {
 	switch n % 4 {
 	case 0: // replies lost after the call took effect
-		p.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
-		p.CutOpen()
+		p.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: 0})
+		p.CloseOpenConnections()
 	case 1: // open connections stop delivering replies
-		p.FreezeOpen(faultproxy.Down)
+		p.FreezeOpenConnections(faultproxy.TargetToClient)
 	case 2: // writes arrive after the lease has lapsed
-		p.Set(faultproxy.Up, faultproxy.Fault{CutAfter: faultproxy.NoCut, Delay: 2 * leaseTTL})
+		p.SetFault(faultproxy.ClientToTarget, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Delay: 2 * leaseTTL})
 	case 3: // connections refused
-		p.Refuse(true)
-		p.CutOpen()
+		p.RefuseNewConnections(true)
+		p.CloseOpenConnections()
 	}
 }
 
@@ -215,7 +215,7 @@
 func TestUnboundKeysAreRefusedWithoutThePlatform(t *testing.T) {
 	h := startCluster(t, 1).hosts[0]
 	h.mustGrant(t, "x", "a")
-	h.proxy.Set(faultproxy.Up, faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true})
+	h.proxy.SetFault(faultproxy.ClientToTarget, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Blackhole: true})
 	started := time.Now()
 	verdict, err := h.claim("during", "a", 100*time.Millisecond)
 	must.Error(t, err)
@@ -229,8 +229,8 @@
 	_, err = h.claim("during2", "a", testTimeout)
 	must.ErrorIs(t, err, claims.ErrUnavailable)
 	must.Less(t, testTimeout/2, time.Since(started))
-	h.proxy.Heal()
-	h.proxy.CutOpen()
+	h.proxy.ClearFaults()
+	h.proxy.CloseOpenConnections()
 	must.Eq(t, claims.Running, h.mustClaim(t, "x", "b"))
 	h.mustGrant(t, "during2", "b")
 	must.Eq(t, claims.Running, h.mustClaim(t, "during2", "c"))
@@ -288,8 +288,8 @@
 func TestBoundKeysWorkWithoutThePlatform(t *testing.T) {
 	c := startCluster(t, 2)
 	for _, h := range c.hosts {
-		h.proxy.Refuse(true)
-		h.proxy.CutOpen()
+		h.proxy.RefuseNewConnections(true)
+		h.proxy.CloseOpenConnections()
 	}
 	key := c.hosts[0].service.Incarnation() + "~booking-1"
 	must.Eq(t, claims.Granted, c.hosts[1].mustClaim(t, key, "a"))
--- a/cmd/cyclamentray-soak/main.go
+++ b/cmd/cyclamentray-soak/main.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	began := time.Now()
-	options := soak.Options{Binary: o.Binary, Dir: dir, Seed: seed, Length: o.Length, Hosts: o.Hosts, Runners: o.Runners}
+	options := soak.Options{Binary: o.Binary, Dir: dir, Seed: seed, FaultPeriod: o.Length, Hosts: o.Hosts, Runners: o.Runners}
 	if o.Verbose {
 		options.Log = func(text string) { fmt.Printf("%8.2f  %s\n", time.Since(began).Seconds(), text) }
 	}
--- a/config/distributor_test.go
+++ b/config/distributor_test.go
@@ -53,7 +53,7 @@
 			_, err := f.editor(0).Apply(ctx, []config.Document{failureDomain("n1")}, 0)
 			must.NoError(t, err)
 			f.awaitRevision(1)
-			f.store.CopyNow()
+			f.store.CopyForStaleReads()
 			revision, err := f.editor(0).SetFailureDomain(ctx, "n1", true)
 			must.NoError(t, err)
 			f.awaitRevision(revision)
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -238,7 +238,7 @@
 func (d *Deployment) Executions(key string) int {
 	total := 0
 	for _, u := range d.upstreams {
-		total += u.Executions()[key]
+		total += u.ExecutionsByKey()[key]
 	}
 	return total
 }
--- a/gang/failures_test.go
+++ b/gang/failures_test.go
@@ -207,7 +207,7 @@
 	t.Parallel()
 	var late sync.Once
 	c := newCluster(t, 1, func(int) worker.Options {
-		return worker.Options{Before: func(path string) error {
+		return worker.Options{BeforeMessage: func(path string) error {
 			if path == workerapi.PathStart {
 				late.Do(func() { time.Sleep(gang.ReservationTTL + 300*time.Millisecond) })
 			}
@@ -252,7 +252,7 @@
 	t.Parallel()
 	var lost sync.Once
 	c := newCluster(t, 2, func(i int) worker.Options {
-		return worker.Options{After: func(path string) (err error) {
+		return worker.Options{AfterMessage: func(path string) (err error) {
 			if i == 1 && path == workerapi.PathStart {
 				lost.Do(func() { err = errors.New("answer lost") })
 			}
--- a/intake/linear_test.go
+++ b/intake/linear_test.go
@@ -186,7 +186,9 @@
 	began := time.Now()
 	stop := make(chan struct{})
 	var faults, running sync.WaitGroup
-	faults.Go(func() { s.kv.Disturb(rand.New(rand.NewPCG(seed, 0)), storeFaults, 80*time.Millisecond, stop) })
+	faults.Go(func() {
+		s.kv.InjectRandomFaults(rand.New(rand.NewPCG(seed, 0)), storeFaults, 80*time.Millisecond, stop)
+	})
 	var all []*caller
 	for client := range callers {
 		var store kvstore.Store = kvstore.NewClient(server.URL) // does not retry: the ledger must handle lost replies
--- a/integration/cluster_test.go
+++ b/integration/cluster_test.go
@@ -134,15 +134,15 @@
 func (c *cluster) heal() {
 	for _, e := range c.entries {
 		for _, p := range []*faultproxy.Proxy{e.link, e.peers} {
-			p.Heal()
-			p.CutOpen() // lost bytes cannot come back
+			p.ClearFaults()
+			p.CloseOpenConnections() // lost bytes cannot come back
 		}
 	}
 }
 
 func blackhole(p *faultproxy.Proxy) {
-	p.Set(faultproxy.Up, faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true})
-	p.Set(faultproxy.Down, faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true})
+	p.SetFault(faultproxy.ClientToTarget, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Blackhole: true})
+	p.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Blackhole: true})
 }
 
 func (e *entry) url() string { return "http://" + e.host.Address }
@@ -200,10 +200,10 @@
 	for i := range s.workers {
 		name := fmt.Sprintf("%s-w%d", fd, i)
 		w := worker.New(worker.Options{
-			Name:         name,
-			Accelerators: 8,
-			RunTime:      func(workerapi.Gang, int) time.Duration { return s.taskRun },
-			Before:       s.beforeWorkerCall,
+			Name:          name,
+			Accelerators:  8,
+			RunTime:       func(workerapi.Gang, int) time.Duration { return s.taskRun },
+			BeforeMessage: s.beforeWorkerCall,
 		})
 		c.workers = append(c.workers, w)
 		c.hosts = append(c.hosts, kvstore.Host{
@@ -344,7 +344,7 @@
 func (c *cluster) executions(key string) int {
 	total := 0
 	for _, u := range c.upstreams {
-		total += u.Executions()[key]
+		total += u.ExecutionsByKey()[key]
 	}
 	return total
 }
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -117,7 +117,7 @@
 	})
 	for _, e := range c.entries {
 		e.cut()
-		e.link.CutOpen()
+		e.link.CloseOpenConnections()
 	}
 	outcome, incarnation := c.post(c.entries[0], "")
 	must.Eq(t, "ran", outcome)
--- a/kvstore/fallback_test.go
+++ b/kvstore/fallback_test.go
@@ -56,7 +56,7 @@
 // accepted, and the job ran.
 func TestFallbackReportsAmbiguousWhenAnEarlierAttemptMayHaveCommitted(t *testing.T) {
 	var fault atomic.Int64
-	fault.Store(int64(keyspace.Lost))
+	fault.Store(int64(keyspace.AnswerLost))
 	f, r, _ := newFallback(&fault)
 	r.down.Store(false)
 	r.service.Store = keyspace.New(keyspace.Options{Fault: func(keyspace.Call) keyspace.Outcome { return keyspace.Refused }})
@@ -186,7 +186,7 @@
 		close(ended)
 	}()
 	<-regained
-	store.Write(createKey("p/1")) // ends the watch; the next one fails
+	store.WriteWithoutFaults(createKey("p/1")) // ends the watch; the next one fails
 	<-lost
 	fault.Store(int64(keyspace.Served))
 	select {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -203,7 +203,7 @@
 		sum, least, most = sum+n, min(least, n), max(most, n)
 	}
 	for _, u := range ups {
-		peak = max(peak, u.Peak())
+		peak = max(peak, u.PeakInFlight())
 	}
 	b.ReportMetric(float64(sum)/(length-warmUp).Seconds()/capacity, "work/capacity")
 	b.ReportMetric(float64(least)/float64(most), "fairness")
--- a/routing/keyed_test.go
+++ b/routing/keyed_test.go
@@ -104,15 +104,15 @@
 		key := fmt.Sprint("key", k)
 		switch k {
 		case 10: // requests reach the upstream, their responses are cut
-			cuttingProxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
+			cuttingProxy.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: 0})
 		case 25: // responses of the platform to host 0 are lost
-			cuttingProxy.Heal()
-			entries[0].store.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
-			entries[0].store.CutOpen()
+			cuttingProxy.ClearFaults()
+			entries[0].store.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: 0})
+			entries[0].store.CloseOpenConnections()
 		case 40: // host 1 is isolated from the platform and from its peers, as if killed
-			entries[0].store.Heal()
-			entries[1].store.Refuse(true)
-			entries[1].store.CutOpen()
+			entries[0].store.ClearFaults()
+			entries[1].store.RefuseNewConnections(true)
+			entries[1].store.CloseOpenConnections()
 			must.NoError(t, entries[1].peers.Close())
 		}
 		var tries sync.WaitGroup
@@ -133,8 +133,8 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	callers.Wait()
-	executions := u.Executions()
-	for key, n := range v.Executions() {
+	executions := u.ExecutionsByKey()
+	for key, n := range v.ExecutionsByKey() {
 		executions[key] += n
 	}
 	must.Greater(t, keys/2, len(ran))
@@ -152,7 +152,7 @@
 	first := entries[0].send(t, "POST", "acme", "k")
 	again := entries[1].send(t, "POST", "acme", "k")
 	must.Eq(t, first, again)
-	must.Eq(t, 1, u.Executions()["k"])
+	must.Eq(t, 1, u.ExecutionsByKey()["k"])
 	req, err := http.NewRequest(http.MethodGet, entries[1].url+"/v1/services/loans/outcomes/k", nil)
 	must.NoError(t, err)
 	req.Header.Set("Organisation", "acme")
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -52,8 +52,8 @@
 	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
 	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
 	must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
-	proxy.FreezeOpen(faultproxy.Up)
-	proxy.FreezeOpen(faultproxy.Down)
+	proxy.FreezeOpenConnections(faultproxy.ClientToTarget)
+	proxy.FreezeOpenConnections(faultproxy.TargetToClient)
 	time.Sleep(150 * time.Millisecond) // exceeds freshConnectionAge, so the idle connection no longer counts as proved alive
 	must.Eq(t, routing.Ran, e.send(t, "POST", "acme", "").outcome)
 	must.Eq(t, int64(2), u.Executed())
@@ -66,7 +66,7 @@
 	for range 8 {
 		must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	}
-	proxy.FreezeOpen(faultproxy.Up)
+	proxy.FreezeOpenConnections(faultproxy.ClientToTarget)
 	for range 8 {
 		must.Eq(t, routing.Ran, e.send(t, "GET", "acme", "").outcome)
 	}
@@ -76,7 +76,7 @@
 	host, u, proxy := startProxiedUpstream(t, upstream.Options{Name: "u1"})
 	other, v, _ := startProxiedUpstream(t, upstream.Options{Name: "u2"})
 	e := startEntryHost(t, newFakeSource(3*time.Second, host), nil)
-	proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 0})
+	proxy.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: 0})
 	e.source.setHosts(host, other)
 	for i := 0; u.Executed() == 0; i++ {
 		must.Less(t, 50, i)
@@ -113,7 +113,7 @@
 		complete := reply{status: 200, outcome: routing.Ran, body: "booked: 3 grabbers"}
 		offset := int64(0)
 		for ; ; offset++ {
-			proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: offset})
+			proxy.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: offset})
 			e := startEntryHost(t, newFakeSource(testTimeout, host), nil)
 			before := calls.Load()
 			got := e.send(t, "POST", "acme", "")
@@ -146,8 +146,8 @@
 	got := e.send(t, "GET", "acme", "")
 	must.False(t, got.truncated)
 	must.Eq(t, len(large), len(got.body))
-	proxy.Set(faultproxy.Down, faultproxy.Fault{CutAfter: 700 << 10})
-	proxy.CutOpen()
+	proxy.SetFault(faultproxy.TargetToClient, faultproxy.Fault{CutAfterBytes: 700 << 10})
+	proxy.CloseOpenConnections()
 	must.True(t, e.send(t, "GET", "acme", "").truncated)
 }
 
@@ -196,7 +196,7 @@
 	e.source.setOut("a", true)
 	out := time.Now()
 	time.Sleep(time.Second)
-	must.Less(t, 200*time.Millisecond, u.LastStart().Sub(out))
+	must.Less(t, 200*time.Millisecond, u.LastExecutionStart().Sub(out))
 	for outcome, n := range stop() {
 		must.Eq(t, routing.Ran, outcome, must.Sprintf("%d requests", n))
 	}
@@ -213,9 +213,9 @@
 	e := startEntryHost(t, newFakeSource(time.Second, near, far), nil)
 	stop := startLoad(t, e.self, 3*slots)
 	waitFor(t, "the remote upstream has executed more than 20 requests", func() bool { return v.Executed() > 20 })
-	lost := faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true}
-	link.Set(faultproxy.Up, lost)
-	link.Set(faultproxy.Down, lost)
+	lost := faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Blackhole: true}
+	link.SetFault(faultproxy.ClientToTarget, lost)
+	link.SetFault(faultproxy.TargetToClient, lost)
 	time.Sleep(3 * time.Second) // 3 request timeouts
 	outcomes := stop()
 	must.Zero(t, outcomes[routing.NotRun])
--- a/soak/check.go
+++ b/soak/check.go
@@ -58,8 +58,8 @@
 	return append([]string(nil), c.violations...)
 }
 
-// Sending notes that a job is about to be handed in.
-func (c *Checker) Sending(id, spec string) {
+// RecordSubmission notes that a job is about to be handed in.
+func (c *Checker) RecordSubmission(id, spec string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.jobs[id] == nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// Answered notes the answer to handing a job in; status 0: none came.
-func (c *Checker) Answered(id string, status int, now steady.Time) {
+// RecordSubmissionAnswer notes the answer to handing a job in; status 0: none came.
+func (c *Checker) RecordSubmissionAnswer(id string, status int, now steady.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -83,8 +83,8 @@
 	}
 }
 
-// State notes the answer to asking for a job.
-func (c *Checker) State(id string, status int, asked steady.Time) {
+// RecordStateAnswer notes the answer to asking for a job.
+func (c *Checker) RecordStateAnswer(id string, status int, asked steady.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -93,8 +93,8 @@
 	}
 }
 
-// Version notes that a host's process has a configuration, or lacks one.
-func (c *Checker) Version(incarnation string, version int, has bool) {
+// RecordConfiguration notes that a host's process has a configuration, or lacks one.
+func (c *Checker) RecordConfiguration(incarnation string, version int, has bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if has {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Evacuate notes that a failure domain was taken out or back.
-func (c *Checker) Evacuate(domain string, out bool, now steady.Time) {
+// RecordEvacuation notes that a failure domain was taken out or back.
+func (c *Checker) RecordEvacuation(domain string, out bool, now steady.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if out {
@@ -117,22 +117,22 @@
 	delete(c.evacuated, domain)
 }
 
-// Drain notes that a runner said that it leaves.
-func (c *Checker) Drain(runner string, now steady.Time) {
+// RecordDrain notes that a runner said that it leaves.
+func (c *Checker) RecordDrain(runner string, now steady.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining[runner] = now
 }
 
-// Booted notes that a runner starts anew and leaves no more.
-func (c *Checker) Booted(runner string) {
+// RecordBoot notes that a runner starts anew and leaves no more.
+func (c *Checker) RecordBoot(runner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.draining, runner)
 }
 
-// Started notes that a runner started a task.
-func (c *Checker) Started(now steady.Time, on, domain string, task batch.TaskID, attempt int, spec string) {
+// RecordStart notes that a runner started a task.
+func (c *Checker) RecordStart(now steady.Time, on, domain string, task batch.TaskID, attempt int, spec string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.starts++
@@ -167,15 +167,15 @@
 	}
 }
 
-// Ended notes that a run ended.
-func (c *Checker) Ended(on string, task batch.TaskID) {
+// RecordEnd notes that a run ended.
+func (c *Checker) RecordEnd(on string, task batch.TaskID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running[task], on)
 }
 
-// Acknowledged notes that a scheduler acknowledged an end.
-func (c *Checker) Acknowledged(end batch.EndedTask) {
+// RecordAcknowledgement notes that a scheduler acknowledged an end.
+func (c *Checker) RecordAcknowledgement(end batch.EndedTask) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if end.Reason == batch.EndDone {
@@ -183,8 +183,8 @@
 	}
 }
 
-// AtEnd checks, once all faults are long over, what must have become of a job.
-func (c *Checker) AtEnd(id, state string, cancelled bool) {
+// CheckFinalState checks, once all faults are long over, what must have become of a job.
+func (c *Checker) CheckFinalState(id, state string, cancelled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
@@ -197,9 +197,9 @@
 	c.violate("job %s was accepted and is %s at the end", id, state)
 }
 
-// Refusals checks, once every try was answered, that nothing ran of which every
+// CheckRefusedJobs checks, once every try was answered, that nothing ran of which every
 // try was refused. A task may start before the answer of the try that stored it.
-func (c *Checker) Refusals() {
+func (c *Checker) CheckRefusedJobs() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.jobs {
@@ -209,8 +209,8 @@
 	}
 }
 
-// StillRunning checks that nothing runs of cancelled jobs at the end.
-func (c *Checker) StillRunning(cancelled map[string]bool) {
+// CheckCancelledJobs checks that nothing runs of cancelled jobs at the end.
+func (c *Checker) CheckCancelledJobs(cancelled map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, on := range c.running {
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -80,19 +80,19 @@
 
 func newDeployment(dir string, hosts, runners int, check *Checker) (*deployment, error) {
 	d := &deployment{dir: dir, check: check, specs: make(map[string]string), tasks: make(map[string]runner.Task)}
-	d.store = keyspace.New(keyspace.Options{Fault: d.faultOf, Late: 2 * time.Second})
+	d.store = keyspace.New(keyspace.Options{Fault: d.faultOf, ApplyDelay: 2 * time.Second})
 	address, err := serve(standin.StoreHandler(d.store))
 	if err != nil {
 		return nil, err
 	}
 	d.storeAt = address
 	d.runners = &standin.RunnerServer{Pool: runner.New(runner.Options{
-		GangTimeout: 3 * time.Second, Describe: d.describe,
-		Started: func(now steady.Time, on string, task batch.TaskID, attempt int) {
-			check.Started(now, on, d.domainOf(on), task, attempt, d.specOf(task.Job))
+		GangTimeout: 3 * time.Second, DescribeTask: d.describe,
+		OnStart: func(now steady.Time, on string, task batch.TaskID, attempt int) {
+			check.RecordStart(now, on, d.domainOf(on), task, attempt, d.specOf(task.Job))
 		},
-		Ended:        func(_ steady.Time, on string, task batch.TaskID, _ int, _ batch.EndReason) { check.Ended(on, task) },
-		Acknowledged: func(_ steady.Time, _ string, end batch.EndedTask) { check.Acknowledged(end) },
+		OnEnd:         func(_ steady.Time, on string, task batch.TaskID, _ int, _ batch.EndReason) { check.RecordEnd(on, task) },
+		OnAcknowledge: func(_ steady.Time, _ string, end batch.EndedTask) { check.RecordAcknowledgement(end) },
 	})}
 	for i := range runners {
 		if err := d.addRunner(i); err != nil {
@@ -200,10 +200,12 @@
 
 // put writes a key past all faults: the platform's own writes always arrive.
 func (d *deployment) put(key string, value []byte) {
-	d.store.Write(kvstore.Txn{Puts: []kvstore.Put{{Key: key, Value: value}}})
+	d.store.WriteWithoutFaults(kvstore.Txn{Puts: []kvstore.Put{{Key: key, Value: value}}})
 }
 
-func (d *deployment) remove(key string) { d.store.Write(kvstore.Txn{Deletes: []string{key}}) }
+func (d *deployment) remove(key string) {
+	d.store.WriteWithoutFaults(kvstore.Txn{Deletes: []string{key}})
+}
 
 // tend sends heartbeats and removes the entries of silent runners until ctx ends.
 func (d *deployment) tend(ctx context.Context) error {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -54,7 +54,7 @@
 			if !c.Write || (seed+n*2654435761)%3 != 0 {
 				return keyspace.Served
 			}
-			return []keyspace.Outcome{keyspace.Lost, keyspace.LostLate}[n%2]
+			return []keyspace.Outcome{keyspace.AnswerLost, keyspace.AnswerLostAppliedLate}[n%2]
 		})
 		return func() { d.setFault(nil) }
 	}},
@@ -67,10 +67,10 @@
 	{"evacuation", func(d *deployment, rng *rand.Rand) func() {
 		domain := fmt.Sprintf("fd-%d", rng.IntN(domains))
 		d.put(standin.EvacuationKey(domain), []byte("{}"))
-		d.check.Evacuate(domain, true, steady.Now())
+		d.check.RecordEvacuation(domain, true, steady.Now())
 		return func() {
 			d.remove(standin.EvacuationKey(domain))
-			d.check.Evacuate(domain, false, steady.Now())
+			d.check.RecordEvacuation(domain, false, steady.Now())
 		}
 	}},
 }
@@ -89,20 +89,20 @@
 	direction := faultproxy.Direction(rng.IntN(2))
 	switch rng.IntN(5) {
 	case 0:
-		p.Set(direction, faultproxy.Fault{CutAfter: faultproxy.NoCut, Delay: time.Duration(20+rng.IntN(300)) * time.Millisecond})
+		p.SetFault(direction, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Delay: time.Duration(20+rng.IntN(300)) * time.Millisecond})
 	case 1:
-		p.Set(direction, faultproxy.Fault{CutAfter: faultproxy.NoCut, Blackhole: true})
+		p.SetFault(direction, faultproxy.Fault{CutAfterBytes: faultproxy.NoCut, Blackhole: true})
 	case 2:
-		p.FreezeOpen(direction)
+		p.FreezeOpenConnections(direction)
 	case 3:
-		p.CutOpen()
+		p.CloseOpenConnections()
 	default:
-		p.Refuse(true)
-		p.CutOpen()
+		p.RefuseNewConnections(true)
+		p.CloseOpenConnections()
 	}
 	return func() {
-		p.Refuse(false)
-		p.Heal()
+		p.RefuseNewConnections(false)
+		p.ClearFaults()
 	}
 }
 
@@ -116,7 +116,7 @@
 // leave has a runner say that it drains, go after its time, and come back.
 func leave(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
 	d.mark(r, false, true)
-	d.check.Drain(r.id, steady.Now())
+	d.check.RecordDrain(r.id, steady.Now())
 	if err := d.beat(r); err != nil {
 		return nothing // it never leaves
 	}
@@ -137,7 +137,7 @@
 
 func (d *deployment) boot(r *fleetRunner) {
 	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Reboot(now, r.id) })
-	d.check.Booted(r.id)
+	d.check.RecordBoot(r.id)
 	d.mark(r, false, false)
 }
 
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -22,13 +22,13 @@
 
 // Options of a run.
 type Options struct {
-	Binary  string // of the host's program
-	Dir     string // for settings and logs
-	Seed    uint64
-	Length  time.Duration // with faults; calm time follows
-	Hosts   int
-	Runners int
-	Log     func(string) // told of each fault; nil: nobody
+	Binary      string // of the host's program
+	Dir         string // for settings and logs
+	Seed        uint64
+	FaultPeriod time.Duration // with faults; calm time follows
+	Hosts       int
+	Runners     int
+	Log         func(string) // told of each fault; nil: nobody
 }
 
 // Report tells how a run went.
@@ -100,7 +100,7 @@
 	var background errgroup.Group
 	background.Go(func() error { return r.d.tend(tending) })
 	time.Sleep(bootTime)
-	traffic, stopTraffic := context.WithTimeout(ctx, r.opts.Length)
+	traffic, stopTraffic := context.WithTimeout(ctx, r.opts.FaultPeriod)
 	defer stopTraffic()
 	var callers sync.WaitGroup
 	callers.Go(func() { r.d.trouble(traffic, rand.New(rand.NewPCG(r.opts.Seed, 2)), r.opts.Log) })
@@ -153,12 +153,12 @@
 
 func (r *run) submit(ctx context.Context) {
 	id, body, task, cancel := r.newJob()
-	r.check.Sending(id, body)
+	r.check.RecordSubmission(id, body)
 	r.d.setJob(id, body, task)
 	accepted := false
 	for range handInTries {
 		status, _ := r.call(ctx, "POST", r.host(), "/q0/"+id, r.jobBody(body, task))
-		r.check.Answered(id, status, steady.Now())
+		r.check.RecordSubmissionAnswer(id, status, steady.Now())
 		if status == http.StatusOK {
 			accepted = true
 			break
@@ -190,7 +190,7 @@
 	defer r.mu.Unlock()
 	id = fmt.Sprintf("%016x", r.rng.Uint64())
 	task = runner.Task{
-		Work: time.Duration(200+r.rng.IntN(2000)) * time.Millisecond, GangSize: 1 + r.rng.IntN(4), Guarded: true,
+		Work: time.Duration(200+r.rng.IntN(2000)) * time.Millisecond, GangSize: 1 + r.rng.IntN(4), ChecksCapacity: true,
 		Request: batch.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: int64(1 + r.rng.IntN(4))},
 	}
 	if r.rng.IntN(2) == 0 {
@@ -248,12 +248,12 @@
 	if id != "" {
 		asked := steady.Now()
 		status, _ := r.call(context.Background(), "GET", h, "/q0/"+id, "")
-		r.check.State(id, status, asked)
+		r.check.RecordStateAnswer(id, status, asked)
 	}
 	incarnation := h.version()
 	status, _ := r.call(context.Background(), "GET", h, fmt.Sprintf("/q%d/", version), "")
 	if incarnation == h.version() && (status == http.StatusOK || status == http.StatusNotFound) {
-		r.check.Version(incarnation, version, status == http.StatusOK)
+		r.check.RecordConfiguration(incarnation, version, status == http.StatusOK)
 	}
 }
 
@@ -277,10 +277,10 @@
 	}
 	time.Sleep(2 * time.Second) // stops that are on their way
 	for _, id := range r.jobs {
-		r.check.AtEnd(id, states[id], r.cancelled[id])
+		r.check.CheckFinalState(id, states[id], r.cancelled[id])
 	}
-	r.check.StillRunning(r.cancelled)
-	r.check.Refusals()
+	r.check.CheckCancelledJobs(r.cancelled)
+	r.check.CheckRefusedJobs()
 }
 
 func (r *run) state(ctx context.Context, id string) string {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -30,7 +30,7 @@
 	must.NoError(t, err, must.Sprint(string(out)))
 	for _, seed := range seeds {
 		report, err := soak.Run(context.Background(), soak.Options{
-			Binary: binary, Dir: t.TempDir(), Seed: seed, Length: 12 * time.Second, Hosts: 3, Runners: 9, Log: func(text string) { t.Log(text) },
+			Binary: binary, Dir: t.TempDir(), Seed: seed, FaultPeriod: 12 * time.Second, Hosts: 3, Runners: 9, Log: func(text string) { t.Log(text) },
 		})
 		must.NoError(t, err)
 		must.SliceEmpty(t, report.Violations, must.Sprintf("seed %d", seed))
@@ -44,85 +44,85 @@
 	task := batch.TaskID{Job: "j"}
 	second := func(n int) steady.Time { return steady.Time(time.Duration(1000+n) * time.Second) }
 	accept := func(c *soak.Checker) {
-		c.Sending("j", "spec")
-		c.Answered("j", 200, second(0))
+		c.RecordSubmission("j", "spec")
+		c.RecordSubmissionAnswer("j", 200, second(0))
 	}
 	start := func(c *soak.Checker, at int, attempt int) {
-		c.Started(second(at), "i-1", "fd", task, attempt, "spec")
+		c.RecordStart(second(at), "i-1", "fd", task, attempt, "spec")
 	}
 	for name, plant := range map[string]struct{ fault, fine func(*soak.Checker) }{
 		"two runs at once": {
-			func(c *soak.Checker) { start(c, 1, 1); c.Started(second(2), "i-2", "fd", task, 2, "spec") },
-			func(c *soak.Checker) { start(c, 1, 1); c.Ended("i-1", task); start(c, 2, 2) },
+			func(c *soak.Checker) { start(c, 1, 1); c.RecordStart(second(2), "i-2", "fd", task, 2, "spec") },
+			func(c *soak.Checker) { start(c, 1, 1); c.RecordEnd("i-1", task); start(c, 2, 2) },
 		},
 		"start after the end": {
 			func(c *soak.Checker) {
 				start(c, 1, 1)
-				c.Ended("i-1", task)
-				c.Acknowledged(batch.EndedTask{Task: task, Reason: batch.EndDone})
+				c.RecordEnd("i-1", task)
+				c.RecordAcknowledgement(batch.EndedTask{Task: task, Reason: batch.EndDone})
 				start(c, 2, 2)
 			},
 			func(c *soak.Checker) {
 				start(c, 1, 1)
-				c.Ended("i-1", task)
-				c.Acknowledged(batch.EndedTask{Task: task, Reason: batch.EndStopped})
+				c.RecordEnd("i-1", task)
+				c.RecordAcknowledgement(batch.EndedTask{Task: task, Reason: batch.EndStopped})
 				start(c, 2, 2)
 			},
 		},
 		"start in an evacuated failure domain": {
-			func(c *soak.Checker) { c.Evacuate("fd", true, second(0)); start(c, 20, 1) },
+			func(c *soak.Checker) { c.RecordEvacuation("fd", true, second(0)); start(c, 20, 1) },
 			func(c *soak.Checker) {
-				c.Evacuate("fd", true, second(0))
-				c.Evacuate("fd", false, second(9))
+				c.RecordEvacuation("fd", true, second(0))
+				c.RecordEvacuation("fd", false, second(9))
 				start(c, 20, 1)
 			},
 		},
 		"start on a leaving runner": {
-			func(c *soak.Checker) { c.Drain("i-1", second(0)); start(c, 20, 1) },
-			func(c *soak.Checker) { c.Drain("i-1", second(0)); c.Booted("i-1"); start(c, 20, 1) },
+			func(c *soak.Checker) { c.RecordDrain("i-1", second(0)); start(c, 20, 1) },
+			func(c *soak.Checker) { c.RecordDrain("i-1", second(0)); c.RecordBoot("i-1"); start(c, 20, 1) },
 		},
 		"start nobody asked for": {
-			func(c *soak.Checker) { c.Started(second(1), "i-1", "fd", batch.TaskID{Job: "other"}, 1, "spec") },
+			func(c *soak.Checker) { c.RecordStart(second(1), "i-1", "fd", batch.TaskID{Job: "other"}, 1, "spec") },
 			func(c *soak.Checker) { start(c, 1, 1) },
 		},
 		"another spec": {
-			func(c *soak.Checker) { c.Started(second(1), "i-1", "fd", task, 1, "changed") },
+			func(c *soak.Checker) { c.RecordStart(second(1), "i-1", "fd", task, 1, "changed") },
 			func(c *soak.Checker) { start(c, 1, 1) },
 		},
 		"refused and run": {
 			func(c *soak.Checker) {
-				c.Sending("r", "spec")
-				c.Answered("r", 503, second(1))
-				c.Started(second(2), "i-1", "fd", batch.TaskID{Job: "r"}, 1, "spec")
-				c.Answered("r", 429, second(3))
-				c.Refusals()
+				c.RecordSubmission("r", "spec")
+				c.RecordSubmissionAnswer("r", 503, second(1))
+				c.RecordStart(second(2), "i-1", "fd", batch.TaskID{Job: "r"}, 1, "spec")
+				c.RecordSubmissionAnswer("r", 429, second(3))
+				c.CheckRefusedJobs()
 			},
 			func(c *soak.Checker) {
-				c.Sending("r", "spec")
-				c.Answered("r", 503, second(1))
-				c.Started(second(2), "i-1", "fd", batch.TaskID{Job: "r"}, 1, "spec")
-				c.Answered("r", 200, second(3))
-				c.Refusals()
+				c.RecordSubmission("r", "spec")
+				c.RecordSubmissionAnswer("r", 503, second(1))
+				c.RecordStart(second(2), "i-1", "fd", batch.TaskID{Job: "r"}, 1, "spec")
+				c.RecordSubmissionAnswer("r", 200, second(3))
+				c.CheckRefusedJobs()
 			},
 		},
 		"accepted and unknown": {
-			func(c *soak.Checker) { c.State("j", 410, second(5)) },
-			func(c *soak.Checker) { c.State("j", 410, second(1)) },
+			func(c *soak.Checker) { c.RecordStateAnswer("j", 410, second(5)) },
+			func(c *soak.Checker) { c.RecordStateAnswer("j", 410, second(1)) },
 		},
 		"configuration reverts": {
-			func(c *soak.Checker) { c.Version("h/1", 4, true); c.Version("h/1", 3, false) },
-			func(c *soak.Checker) { c.Version("h/1", 4, true); c.Version("h/2", 3, false) },
+			func(c *soak.Checker) { c.RecordConfiguration("h/1", 4, true); c.RecordConfiguration("h/1", 3, false) },
+			func(c *soak.Checker) { c.RecordConfiguration("h/1", 4, true); c.RecordConfiguration("h/2", 3, false) },
 		},
 		"accepted and lost": {
-			func(c *soak.Checker) { c.AtEnd("j", "running", false) },
-			func(c *soak.Checker) { c.AtEnd("j", "completed", false) },
+			func(c *soak.Checker) { c.CheckFinalState("j", "running", false) },
+			func(c *soak.Checker) { c.CheckFinalState("j", "completed", false) },
 		},
 		"cancelled and running": {
-			func(c *soak.Checker) { start(c, 1, 1); c.StillRunning(map[string]bool{"j": true}) },
+			func(c *soak.Checker) { start(c, 1, 1); c.CheckCancelledJobs(map[string]bool{"j": true}) },
 			func(c *soak.Checker) {
 				start(c, 1, 1)
-				c.Ended("i-1", task)
-				c.StillRunning(map[string]bool{"j": true})
+				c.RecordEnd("i-1", task)
+				c.CheckCancelledJobs(map[string]bool{"j": true})
 			},
 		},
 	} {
--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -18,8 +18,8 @@
 
 // The directions.
 const (
-	Up   Direction = iota // from the client to the target
-	Down                  // from the target to the client
+	ClientToTarget Direction = iota // from the client to the target
+	TargetToClient                  // from the target to the client
 )
 
 // NoCut leaves a direction uncut.
@@ -28,13 +28,13 @@
 // Fault is what happens to the bytes of one direction. The zero value cuts at
 // the first byte; start from None.
 type Fault struct {
-	Delay     time.Duration // each chunk waits this long
-	CutAfter  int64         // bytes passed before both sides are closed; NoCut: never
-	Blackhole bool          // bytes are read and dropped
+	Delay         time.Duration // each chunk waits this long
+	CutAfterBytes int64         // bytes passed before both sides are closed; NoCut: never
+	Blackhole     bool          // bytes are read and dropped
 }
 
-// None is a direction without a fault.
-var None = Fault{CutAfter: NoCut}
+// NoFault is a direction without a fault.
+var NoFault = Fault{CutAfterBytes: NoCut}
 
 // Proxy forwards TCP connections to one target. It is safe for concurrent use.
 type Proxy struct {
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, target: target, faults: [2]Fault{None, None}, links: make(map[*link]struct{})}
+	p := &Proxy{listener: l, target: target, faults: [2]Fault{NoFault, NoFault}, links: make(map[*link]struct{})}
 	p.wg.Add(1)
 	go p.accept()
 	return p, nil
@@ -72,31 +72,31 @@
 	p.target = target
 }
 
-// Set puts a fault on one direction of every connection, open and new. Bytes
-// already passed on a connection count towards CutAfter.
-func (p *Proxy) Set(d Direction, f Fault) {
+// SetFault puts a fault on one direction of every connection, open and new. Bytes
+// already passed on a connection count towards CutAfterBytes.
+func (p *Proxy) SetFault(d Direction, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[d] = f
 }
 
-// Heal removes the faults set on both directions. Frozen connections stay frozen.
-func (p *Proxy) Heal() {
-	p.Set(Up, None)
-	p.Set(Down, None)
-	p.Refuse(false)
+// ClearFaults removes the faults set on both directions. Frozen connections stay frozen.
+func (p *Proxy) ClearFaults() {
+	p.SetFault(ClientToTarget, NoFault)
+	p.SetFault(TargetToClient, NoFault)
+	p.RefuseNewConnections(false)
 }
 
-// Refuse closes new connections at once while on.
-func (p *Proxy) Refuse(on bool) {
+// RefuseNewConnections closes new connections at once while on.
+func (p *Proxy) RefuseNewConnections(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = on
 }
 
-// FreezeOpen silences one direction of the connections open now, for good. They
+// FreezeOpenConnections silences one direction of the connections open now, for good. They
 // stay open, and new ones work.
-func (p *Proxy) FreezeOpen(d Direction) {
+func (p *Proxy) FreezeOpenConnections(d Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -104,8 +104,8 @@
 	}
 }
 
-// CutOpen closes the connections open now.
-func (p *Proxy) CutOpen() {
+// CloseOpenConnections closes the connections open now.
+func (p *Proxy) CloseOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
@@ -113,15 +113,15 @@
 	}
 }
 
-// Opened returns how many connections were accepted so far.
-func (p *Proxy) Opened() int {
+// AcceptedConnections returns how many connections were accepted so far.
+func (p *Proxy) AcceptedConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Passed returns the bytes passed in one direction on the connections open now.
-func (p *Proxy) Passed(d Direction) int64 {
+// ForwardedBytes returns the bytes passed in one direction on the connections open now.
+func (p *Proxy) ForwardedBytes(d Direction) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var n int64
@@ -191,9 +191,9 @@
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		p.copy(l, Up, server, client)
+		p.copy(l, ClientToTarget, server, client)
 	}()
-	p.copy(l, Down, client, server)
+	p.copy(l, TargetToClient, client, server)
 }
 
 func (p *Proxy) add(l *link) bool {
@@ -233,13 +233,13 @@
 	f := p.faults[d]
 	frozen := l.frozen[d]
 	room := int64(len(chunk))
-	if f.CutAfter >= 0 {
-		room = min(room, max(0, f.CutAfter-l.passed[d]))
+	if f.CutAfterBytes >= 0 {
+		room = min(room, max(0, f.CutAfterBytes-l.passed[d]))
 	}
 	if !frozen && !f.Blackhole {
 		l.passed[d] += room
 	}
-	cut := f.CutAfter >= 0 && l.passed[d] >= f.CutAfter
+	cut := f.CutAfterBytes >= 0 && l.passed[d] >= f.CutAfterBytes
 	p.mu.Unlock()
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
--- a/standin/keyspace/keyspace.go
+++ b/standin/keyspace/keyspace.go
@@ -18,10 +18,10 @@
 
 // The outcomes.
 const (
-	Served   Outcome = iota
-	Refused          // nothing is done, and the caller is told
-	Lost             // it is done, and the answer is lost
-	LostLate         // the answer is lost, and it is done after Late
+	Served                Outcome = iota
+	Refused                       // nothing is done, and the caller is told
+	AnswerLost                    // it is done, and the answer is lost
+	AnswerLostAppliedLate         // the answer is lost, and it is done after ApplyDelay
 )
 
 // Call is one call, as a fault sees it.
@@ -32,9 +32,9 @@
 
 // Options of a Store.
 type Options struct {
-	Now   func() steady.Time // nil: steady.Now
-	Fault func(Call) Outcome // nil: every call is served
-	Late  time.Duration      // how late a LostLate call is done
+	Now        func() steady.Time // nil: steady.Now
+	Fault      func(Call) Outcome // nil: every call is served
+	ApplyDelay time.Duration      // how late an AnswerLostAppliedLate call is done
 }
 
 // tick is how often a waiting watch looks for leases that ran out.
@@ -162,18 +162,18 @@
 	switch s.opts.Fault(call) {
 	case Refused:
 		return 0, kvstore.ErrUnavailable
-	case LostLate:
-		time.AfterFunc(s.opts.Late, func() { _, _ = s.apply(txn) }) // nobody hears of it
+	case AnswerLostAppliedLate:
+		time.AfterFunc(s.opts.ApplyDelay, func() { _, _ = s.apply(txn) }) // nobody hears of it
 		return 0, kvstore.ErrAmbiguous
-	case Lost:
+	case AnswerLost:
 		_, _ = s.apply(txn) // nobody hears of it
 		return 0, kvstore.ErrAmbiguous
 	}
 	return s.apply(txn)
 }
 
-// Write applies a transaction without conditions past all faults.
-func (s *Store) Write(txn kvstore.Txn) {
+// WriteWithoutFaults applies a transaction without conditions past all faults.
+func (s *Store) WriteWithoutFaults(txn kvstore.Txn) {
 	txn.If = nil
 	_, _ = s.apply(txn) // only a lease could be missing, and none is named
 }
--- a/standin/kv/disturb.go
+++ b/standin/kv/disturb.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Disturb puts one of the faults at random on the store, each for a random
+// InjectRandomFaults puts one of the faults at random on the store, each for a random
 // while from least to twice least, until stop is closed. Then it ends them.
-func (s *Server) Disturb(random *rand.Rand, faults []Faults, least time.Duration, stop <-chan struct{}) {
+func (s *Server) InjectRandomFaults(random *rand.Rand, faults []Faults, least time.Duration, stop <-chan struct{}) {
 	defer s.SetFaults(Faults{})
 	for {
 		s.SetFaults(faults[random.IntN(len(faults))])
--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -16,7 +16,7 @@
 	Down          bool          // every call is answered with status 503, without effect
 	Delay         time.Duration // before every call takes effect
 	LoseAnswers   int           // answers of the next writes to lose after their effect; negative: all
-	StaleReads    bool          // reads answer from the copy that CopyNow made
+	StaleReads    bool          // reads answer from the copy that CopyForStaleReads made
 	SilentWatches bool          // watches are never answered
 	HostLag       time.Duration // before a change of the host list shows
 }
@@ -28,8 +28,8 @@
 	s.faults = f
 }
 
-// CopyNow makes the copy that stale reads answer from.
-func (s *Server) CopyNow() {
+// CopyForStaleReads makes the copy that stale reads answer from.
+func (s *Server) CopyForStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copied = maps.Clone(s.pairs)
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -16,25 +16,25 @@
 
 // Task is what a runner knows of a task from its spec.
 type Task struct {
-	Request    batch.Resources
-	Work       time.Duration // on a runner of speed 1
-	Checkpoint time.Duration // work between checkpoints; 0: it saves nothing
-	GangSize   int           // 0 or 1: no gang
-	Fails      bool          // at the end of its work
-	Guarded    bool          // refused when it doesn't fit
+	Request        batch.Resources
+	Work           time.Duration // on a runner of speed 1
+	Checkpoint     time.Duration // work between checkpoints; 0: it saves nothing
+	GangSize       int           // 0 or 1: no gang
+	Fails          bool          // at the end of its work
+	ChecksCapacity bool          // refused when it doesn't fit
 }
 
 // Options of a Pool.
 type Options struct {
-	Describe    func(batch.TaskID, string) Task
-	GangTimeout time.Duration // how long a member waits for the others
-	// Permits, when set, tells whether a start has the ticket that it needs.
-	Permits func(now steady.Time, on string, o dispatch.StartOrder) bool
-	// Started and Ended, when set, are told what happens, for checks.
-	Started func(now steady.Time, on string, task batch.TaskID, attempt int)
-	Ended   func(now steady.Time, on string, task batch.TaskID, attempt int, how batch.EndReason)
-	// Acknowledged is told of ends that a scheduler has taken note of.
-	Acknowledged func(now steady.Time, on string, end batch.EndedTask)
+	DescribeTask func(batch.TaskID, string) Task
+	GangTimeout  time.Duration // how long a member waits for the others
+	// HasValidTicket, when set, tells whether a start has the ticket that it needs.
+	HasValidTicket func(now steady.Time, on string, o dispatch.StartOrder) bool
+	// OnStart and OnEnd, when set, are told what happens, for checks.
+	OnStart func(now steady.Time, on string, task batch.TaskID, attempt int)
+	OnEnd   func(now steady.Time, on string, task batch.TaskID, attempt int, how batch.EndReason)
+	// OnAcknowledge is told of ends that a scheduler has taken note of.
+	OnAcknowledge func(now steady.Time, on string, end batch.EndedTask)
 }
 
 type key struct {
@@ -114,8 +114,8 @@
 // Runner returns a runner, or nil.
 func (p *Pool) Runner(id string) *Runner { return p.runners[id] }
 
-// Running returns how many runs there are of a task.
-func (p *Pool) Running(task batch.TaskID) int {
+// CountTaskRuns returns how many runs there are of a task.
+func (p *Pool) CountTaskRuns(task batch.TaskID) int {
 	n := 0
 	for _, r := range p.runners {
 		for k := range r.runs {
@@ -127,11 +127,11 @@
 	return n
 }
 
-// Running returns how many runs a runner has.
-func (r *Runner) Running() int { return len(r.runs) }
+// CountRuns returns how many runs a runner has.
+func (r *Runner) CountRuns() int { return len(r.runs) }
 
-// RunningOf counts a job's runs on one runner.
-func (p *Pool) RunningOf(id, job string) int {
+// CountJobRuns counts a job's runs on one runner.
+func (p *Pool) CountJobRuns(id, job string) int {
 	n := 0
 	for k := range p.runners[id].runs {
 		if k.task.Job == job {
@@ -198,11 +198,11 @@
 	if o.Attempt <= r.highest[o.Task] {
 		return dispatch.Superseded
 	}
-	if p.opts.Permits != nil && !p.opts.Permits(now, id, o) {
+	if p.opts.HasValidTicket != nil && !p.opts.HasValidTicket(now, id, o) {
 		return dispatch.InvalidTicket
 	}
-	task := p.opts.Describe(o.Task, o.Spec)
-	if task.Guarded && !r.used().Plus(task.Request).Fits(r.Capacity) {
+	task := p.opts.DescribeTask(o.Task, o.Spec)
+	if task.ChecksCapacity && !r.used().Plus(task.Request).Fits(r.Capacity) {
 		return dispatch.InsufficientCapacity
 	}
 	saved, err := time.ParseDuration(o.Checkpoint)
@@ -210,8 +210,8 @@
 		saved = 0 // no checkpoint
 	}
 	r.runs[k] = &run{key: k, task: task, done: saved, saved: saved, arrived: now}
-	if p.opts.Started != nil {
-		p.opts.Started(now, id, o.Task, o.Attempt)
+	if p.opts.OnStart != nil {
+		p.opts.OnStart(now, id, o.Task, o.Attempt)
 	}
 	return dispatch.Accepted
 }
@@ -270,15 +270,15 @@
 		if e.Sequence > until {
 			return false
 		}
-		if p.opts.Acknowledged != nil {
-			p.opts.Acknowledged(now, r.ID, e)
+		if p.opts.OnAcknowledge != nil {
+			p.opts.OnAcknowledge(now, r.ID, e)
 		}
 		return true
 	})
 }
 
-// HasEnds reports whether a runner lists ends beyond an acknowledged one.
-func (p *Pool) HasEnds(id string, acknowledged int64) bool {
+// HasUnacknowledgedEnds reports whether a runner lists ends beyond an acknowledged one.
+func (p *Pool) HasUnacknowledgedEnds(id string, acknowledged int64) bool {
 	r := p.runners[id]
 	return r != nil && slices.ContainsFunc(r.ends, func(e batch.EndedTask) bool { return e.Sequence > acknowledged })
 }
@@ -423,7 +423,7 @@
 }
 
 func (p *Pool) tell(now steady.Time, r *Runner, running *run, how batch.EndReason) {
-	if p.opts.Ended != nil {
-		p.opts.Ended(now, r.ID, running.key.task, running.attempt, how)
+	if p.opts.OnEnd != nil {
+		p.opts.OnEnd(now, r.ID, running.key.task, running.attempt, how)
 	}
 }
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -78,8 +78,8 @@
 // Requests already being worked on finish.
 func (u *Upstream) Leave() { u.leaving.Store(true) }
 
-// Return takes new requests again.
-func (u *Upstream) Return() { u.leaving.Store(false) }
+// Rejoin takes new requests again.
+func (u *Upstream) Rejoin() { u.leaving.Store(false) }
 
 // Executed returns how many requests were executed.
 func (u *Upstream) Executed() int64 { return u.executed.Load() }
@@ -87,15 +87,15 @@
 // Refused returns how many requests were refused because the upstream is leaving.
 func (u *Upstream) Refused() int64 { return u.refused.Load() }
 
-// Peak returns the largest number of requests that were present at once,
+// PeakInFlight returns the largest number of requests that were present at once,
 // waiting for a slot or being worked on.
-func (u *Upstream) Peak() int64 { return u.peak.Load() }
+func (u *Upstream) PeakInFlight() int64 { return u.peak.Load() }
 
-// LastStart returns when the last execution began; zero: never.
-func (u *Upstream) LastStart() time.Time { return time.Unix(0, u.lastStart.Load()) }
+// LastExecutionStart returns when the last execution began; zero: never.
+func (u *Upstream) LastExecutionStart() time.Time { return time.Unix(0, u.lastStart.Load()) }
 
-// Executions returns how often each idempotency key was executed.
-func (u *Upstream) Executions() map[string]int {
+// ExecutionsByKey returns how often each idempotency key was executed.
+func (u *Upstream) ExecutionsByKey() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make(map[string]int, len(u.perKey))
--- a/standin/worker/http.go
+++ b/standin/worker/http.go
@@ -9,8 +9,8 @@
 
 // ServeHTTP answers the worker's HTTP interface.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.o.Before != nil {
-		if err := s.o.Before(r.URL.Path); err != nil {
+	if s.o.BeforeMessage != nil {
+		if err := s.o.BeforeMessage(r.URL.Path); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -44,8 +44,8 @@
 }
 
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, reply any) {
-	if s.o.After != nil {
-		if err := s.o.After(r.URL.Path); err != nil {
+	if s.o.AfterMessage != nil {
+		if err := s.o.AfterMessage(r.URL.Path); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -12,8 +12,8 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// DefaultRetain is how long ended tasks are listed.
-const DefaultRetain = 10 * time.Minute
+// DefaultRetention is how long ended tasks are listed.
+const DefaultRetention = 10 * time.Minute
 
 // Options configures a stand-in worker.
 type Options struct {
@@ -24,11 +24,11 @@
 	RunTime func(gang workerapi.Gang, index int) time.Duration
 	// Fail tells whether a task fails as soon as it starts; nil: none does.
 	Fail func(gang workerapi.Gang, index int) bool
-	// Before runs before each message is handled; an error loses the message.
-	Before func(path string) error
-	// After runs after each message took effect; an error loses the answer.
-	After  func(path string) error
-	Retain time.Duration // 0: DefaultRetain
+	// BeforeMessage runs before each message is handled; an error loses the message.
+	BeforeMessage func(path string) error
+	// AfterMessage runs after each message took effect; an error loses the answer.
+	AfterMessage func(path string) error
+	Retention    time.Duration // 0: DefaultRetention
 }
 
 type taskKey struct {
@@ -59,8 +59,8 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Retain == 0 {
-		o.Retain = DefaultRetain
+	if o.Retention == 0 {
+		o.Retention = DefaultRetention
 	}
 	return &Server{o: o, incarnation: 1, tasks: make(map[taskKey]*task), stopped: make(map[string]uint64)}
 }
@@ -117,7 +117,7 @@
 		case workerapi.TaskRunning:
 			t.settle(now)
 		default:
-			if now.Sub(t.ended) >= s.o.Retain {
+			if now.Sub(t.ended) >= s.o.Retention {
 				delete(s.tasks, key)
 			}
 		}
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -67,7 +67,7 @@
 	must.EqOp(t, workerapi.OK, start(w, 1))
 	*now = now.Add(time.Minute)
 	must.Eq(t, []workerapi.TaskState{workerapi.TaskFinished, workerapi.TaskFinished}, states(w))
-	*now = now.Add(worker.DefaultRetain)
+	*now = now.Add(worker.DefaultRetention)
 	must.SliceEmpty(t, states(w))
 }
 
