--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -1,5 +1,7 @@
-// Package faultproxy is a TCP proxy for tests that delays, cuts, freezes or
-// swallows what passes through it, separately for each direction.
+// Package faultproxy is a TCP proxy for fault injection: it delays or drops the
+// bytes that it forwards, for each direction separately, and cuts, freezes or
+// refuses connections. It holds the faults that are set and the open
+// connections. Tests and package soak use it.
 package faultproxy
 
 import (
@@ -13,7 +15,7 @@
 	dialTimeout = 5 * time.Second
 )
 
-// Direction tells which way bytes flow.
+// Direction is the direction of a byte stream through the proxy.
 type Direction int
 
 // The directions.
@@ -22,18 +24,18 @@
 	TargetToClient                  // from the target to the client
 )
 
-// NoCut leaves a direction uncut.
+// NoCut, as Fault.CutAfterBytes, never closes the connection.
 const NoCut int64 = -1
 
-// Fault is what happens to the bytes of one direction. The zero value cuts at
-// the first byte; start from None.
+// Fault describes what happens to the bytes of one direction. The zero value
+// closes connections at the first byte; use NoFault as the base value.
 type Fault struct {
-	Delay         time.Duration // each chunk waits this long
-	CutAfterBytes int64         // bytes passed before both sides are closed; NoCut: never
+	Delay         time.Duration // before each chunk is forwarded
+	CutAfterBytes int64         // bytes forwarded before both sides are closed; NoCut: never
 	Blackhole     bool          // bytes are read and dropped
 }
 
-// NoFault is a direction without a fault.
+// NoFault forwards all bytes without delay.
 var NoFault = Fault{CutAfterBytes: NoCut}
 
 // Proxy forwards TCP connections to one target. It is safe for concurrent use.
@@ -41,13 +43,13 @@
 	listener net.Listener
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	target string
-	faults [2]Fault
-	links  map[*link]struct{}
-	refuse bool
-	opened int
-	closed bool
+	mu          sync.Mutex
+	target      string
+	faults      [2]Fault
+	connections map[*connection]struct{}
+	refuseNew   bool
+	accepted    int
+	closed      bool
 }
 
 // New listens on a free loopback port and forwards to target.
@@ -56,86 +58,91 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: l, target: target, faults: [2]Fault{NoFault, NoFault}, links: make(map[*link]struct{})}
+	p := &Proxy{listener: l, target: target, faults: [2]Fault{NoFault, NoFault}, connections: make(map[*connection]struct{})}
 	p.wg.Add(1)
 	go p.accept()
 	return p, nil
 }
 
-// Addr returns the proxy's IP:port.
+// Addr returns the IP:port that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget changes the target of new connections. Open ones keep theirs.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// SetFault puts a fault on one direction of every connection, open and new. Bytes
-// already passed on a connection count towards CutAfterBytes.
+// SetFault sets the fault of one direction for every connection, open and new.
+// Bytes already forwarded on a connection count towards CutAfterBytes.
 func (p *Proxy) SetFault(d Direction, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[d] = f
 }
 
-// ClearFaults removes the faults set on both directions. Frozen connections stay frozen.
+// ClearFaults removes the faults of both directions and accepts new connections
+// again. Frozen connections stay frozen.
 func (p *Proxy) ClearFaults() {
 	p.SetFault(ClientToTarget, NoFault)
 	p.SetFault(TargetToClient, NoFault)
 	p.RefuseNewConnections(false)
 }
 
-// RefuseNewConnections closes new connections at once while on.
+// RefuseNewConnections sets whether new connections are closed as soon as they
+// are accepted.
 func (p *Proxy) RefuseNewConnections(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuse = on
+	p.refuseNew = on
 }
 
-// FreezeOpenConnections silences one direction of the connections open now, for good. They
-// stay open, and new ones work.
+// FreezeOpenConnections drops all further bytes of one direction on the
+// connections that are open now. They stay open; new ones are not affected.
 func (p *Proxy) FreezeOpenConnections(d Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.connections {
 		l.frozen[d] = true
 	}
 }
 
-// CloseOpenConnections closes the connections open now.
+// CloseOpenConnections closes the connections that are open now.
 func (p *Proxy) CloseOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.connections {
 		l.close()
 	}
 }
 
-// AcceptedConnections returns how many connections were accepted so far.
+// AcceptedConnections returns the number of connections accepted so far,
+// refused ones included.
 func (p *Proxy) AcceptedConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.accepted
 }
 
-// ForwardedBytes returns the bytes passed in one direction on the connections open now.
+// ForwardedBytes returns the number of bytes forwarded in one direction on the
+// connections that are open now.
 func (p *Proxy) ForwardedBytes(d Direction) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var n int64
-	for l := range p.links {
-		n += l.passed[d]
+	for l := range p.connections {
+		n += l.forwarded[d]
 	}
 	return n
 }
 
-// Close stops listening, closes every connection and waits for them to end.
+// Close stops listening, closes every connection and waits for the goroutines
+// that serve them.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
-	for l := range p.links {
+	for l := range p.connections {
 		l.close()
 	}
 	p.mu.Unlock()
@@ -143,15 +150,16 @@
 	p.wg.Wait()
 }
 
-// link is one proxied connection. Proxy.mu guards frozen and passed.
-type link struct {
-	client net.Conn
-	server net.Conn
-	frozen [2]bool
-	passed [2]int64
+// connection is one proxied connection; frozen and forwarded are indexed by
+// Direction. Proxy.mu guards both.
+type connection struct {
+	client    net.Conn
+	server    net.Conn
+	frozen    [2]bool
+	forwarded [2]int64
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	l.client.Close()
 	l.server.Close()
 }
@@ -172,8 +180,8 @@
 	defer p.wg.Done()
 	defer client.Close()
 	p.mu.Lock()
-	p.opened++
-	target, refuse := p.target, p.refuse
+	p.accepted++
+	target, refuse := p.target, p.refuseNew
 	p.mu.Unlock()
 	if refuse {
 		return
@@ -182,43 +190,44 @@
 	if err != nil {
 		return
 	}
-	l := &link{client: client, server: server}
+	l := &connection{client: client, server: server}
 	defer l.close()
-	if !p.add(l) {
+	if !p.addConnection(l) {
 		return
 	}
-	defer p.remove(l)
+	defer p.removeConnection(l)
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		p.copy(l, ClientToTarget, server, client)
+		p.copyDirection(l, ClientToTarget, server, client)
 	}()
-	p.copy(l, TargetToClient, client, server)
+	p.copyDirection(l, TargetToClient, client, server)
 }
 
-func (p *Proxy) add(l *link) bool {
+func (p *Proxy) addConnection(l *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return false
 	}
-	p.links[l] = struct{}{}
+	p.connections[l] = struct{}{}
 	return true
 }
 
-func (p *Proxy) remove(l *link) {
+func (p *Proxy) removeConnection(l *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, l)
+	delete(p.connections, l)
 }
 
-// copy passes bytes of one direction until either side ends or a fault cuts.
-func (p *Proxy) copy(l *link, d Direction, dst, src net.Conn) {
+// copyDirection forwards the bytes of one direction until either side closes or
+// a fault cuts the connection. Then it closes both sides.
+func (p *Proxy) copyDirection(l *connection, d Direction, dst, src net.Conn) {
 	defer l.close()
 	buf := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !p.pass(l, d, dst, buf[:n]) {
+		if n > 0 && !p.forward(l, d, dst, buf[:n]) {
 			return
 		}
 		if err != nil {
@@ -227,19 +236,20 @@
 	}
 }
 
-// pass applies the direction's fault to a chunk; it reports whether to go on.
-func (p *Proxy) pass(l *link, d Direction, dst net.Conn, chunk []byte) bool {
+// forward applies the direction's fault to a chunk and writes what remains. It
+// reports whether the connection stays open.
+func (p *Proxy) forward(l *connection, d Direction, dst net.Conn, chunk []byte) bool {
 	p.mu.Lock()
 	f := p.faults[d]
 	frozen := l.frozen[d]
-	room := int64(len(chunk))
+	allowed := int64(len(chunk))
 	if f.CutAfterBytes >= 0 {
-		room = min(room, max(0, f.CutAfterBytes-l.passed[d]))
+		allowed = min(allowed, max(0, f.CutAfterBytes-l.forwarded[d]))
 	}
 	if !frozen && !f.Blackhole {
-		l.passed[d] += room
+		l.forwarded[d] += allowed
 	}
-	cut := f.CutAfterBytes >= 0 && l.passed[d] >= f.CutAfterBytes
+	cut := f.CutAfterBytes >= 0 && l.forwarded[d] >= f.CutAfterBytes
 	p.mu.Unlock()
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
@@ -247,7 +257,7 @@
 	if frozen || f.Blackhole {
 		return true
 	}
-	if _, err := dst.Write(chunk[:room]); err != nil {
+	if _, err := dst.Write(chunk[:allowed]); err != nil {
 		return false
 	}
 	return !cut
--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// FaultsPath takes a PUT of Faults as JSON, for tests with real processes. It
-// works during an outage too.
+// FaultsPath is the URL path that sets the faults by a PUT of Faults as JSON, for
+// tests that run the server as a process. It works while Faults.Down is set too.
 const FaultsPath = "/standin/faults"
 
-// Faults is what goes wrong in the store. Its zero value is a sound store.
+// Faults are the faults that the server injects. The zero value injects none.
 type Faults struct {
-	Down          bool          // every call is answered with status 503, without effect
-	Delay         time.Duration // before every call takes effect
-	LoseAnswers   int           // answers of the next writes to lose after their effect; negative: all
-	StaleReads    bool          // reads answer from the copy that CopyForStaleReads made
-	SilentWatches bool          // watches are never answered
-	HostLag       time.Duration // before a change of the host list shows
+	Down          bool          // every call has no effect and is answered with status 503
+	Delay         time.Duration // delay of every call before it takes effect
+	LoseAnswers   int           // number of next writes that take effect but get no answer; negative: all
+	StaleReads    bool          // reads and watches use the copy made by CopyForStaleReads
+	SilentWatches bool          // watches are never answered, not even at the end of their wait
+	HostLag       time.Duration // delay before a change of the host list is visible
 }
 
-// SetFaults replaces the faults. Watches that wait go on waiting.
+// SetFaults replaces the faults. It doesn't affect watches that already wait.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// CopyForStaleReads makes the copy that stale reads answer from.
+// CopyForStaleReads copies the keys as they are now; reads use the copy while
+// Faults.StaleReads is set.
 func (s *Server) CopyForStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copied = maps.Clone(s.pairs)
+	s.staleCopy = maps.Clone(s.pairs)
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -45,9 +46,9 @@
 	writeJSON(w, f)
 }
 
-// disturb delays a call, and reports whether it may go on. A delayed write takes
-// effect although its caller may have given up.
-func (s *Server) disturb(w http.ResponseWriter) bool {
+// applyFaults delays or refuses a call, and reports whether to handle it. A
+// delayed write takes effect even if its caller has given up meanwhile.
+func (s *Server) applyFaults(w http.ResponseWriter) bool {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
@@ -55,15 +56,16 @@
 		time.Sleep(f.Delay)
 	}
 	if f.Down {
-		s.count("refused")
+		s.countCall("refused")
 		http.Error(w, "no cluster leader", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
 }
 
-// silent holds a watch until its caller gives up, when watches are silent.
-func (s *Server) silent(r *http.Request) bool {
+// blockSilentWatch blocks until the caller gives up if SilentWatches is set. It
+// reports whether it is set.
+func (s *Server) blockSilentWatch(r *http.Request) bool {
 	s.mu.Lock()
 	silent := s.faults.SilentWatches
 	s.mu.Unlock()
@@ -73,8 +75,9 @@
 	return silent
 }
 
-// loseAnswer reports whether the answer of this write is to be lost.
-func (s *Server) loseAnswer() bool {
+// shouldLoseAnswer reports whether the present write gets no answer, and counts it
+// against LoseAnswers.
+func (s *Server) shouldLoseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers > 0 {
@@ -84,10 +87,11 @@
 	return s.faults.LoseAnswers < 0
 }
 
-// readable returns what reads answer from. The caller holds mu.
-func (s *Server) readable() map[string]Pair {
+// pairsForReads returns the stale copy if StaleReads is set, otherwise the present
+// keys. The caller holds mu.
+func (s *Server) pairsForReads() map[string]Pair {
 	if s.faults.StaleReads {
-		return s.copied
+		return s.staleCopy
 	}
 	return s.pairs
 }
--- a/standin/kv/hosts.go
+++ b/standin/kv/hosts.go
@@ -9,27 +9,27 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// hostList is the host list and its index, which grows with every change.
+// hostList is the host list and its index, which increases with every change.
 type hostList struct {
 	hosts   []kvstore.Host
 	index   uint64
 	changed chan struct{} // closed and replaced at every change
 }
 
-// SetHosts replaces the host list, after the lag that the faults ask for.
+// SetHosts replaces the host list, after Faults.HostLag.
 func (s *Server) SetHosts(hosts []kvstore.Host) {
 	s.mu.Lock()
 	lag := s.faults.HostLag
 	s.mu.Unlock()
 	hosts = append([]kvstore.Host(nil), hosts...)
 	if lag <= 0 {
-		s.showHosts(hosts)
+		s.publishHosts(hosts)
 		return
 	}
-	time.AfterFunc(lag, func() { s.showHosts(hosts) })
+	time.AfterFunc(lag, func() { s.publishHosts(hosts) })
 }
 
-func (s *Server) showHosts(hosts []kvstore.Host) {
+func (s *Server) publishHosts(hosts []kvstore.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts.hosts = hosts
@@ -39,7 +39,7 @@
 }
 
 func (s *Server) serveHosts(w http.ResponseWriter, r *http.Request) {
-	s.count("hosts")
+	s.countCall("hosts")
 	if r.Method == http.MethodPut {
 		var hosts []kvstore.Host
 		if err := json.NewDecoder(r.Body).Decode(&hosts); err != nil {
@@ -50,7 +50,7 @@
 		return
 	}
 	after, blocking := parseIndex(r)
-	if blocking && s.silent(r) {
+	if blocking && s.blockSilentWatch(r) {
 		return
 	}
 	list := s.waitHosts(r, after, blocking)
@@ -63,7 +63,7 @@
 }
 
 // waitHosts returns the list once its index differs from after, or when the
-// wait ends.
+// wait ends. If the call is not blocking, it returns at once.
 func (s *Server) waitHosts(r *http.Request, after uint64, blocking bool) hostList {
 	timer := time.NewTimer(waitLimit(r))
 	defer timer.Stop()
--- a/standin/kv/kv.go
+++ b/standin/kv/kv.go
@@ -1,8 +1,9 @@
-// Package kv is a stand-in for the platform's key-value service and host list,
-// for tests and the dev command. It speaks the part of the Consul HTTP API that
-// the platform client uses: /v1/kv with cas, acquire and blocking reads, and
-// /v1/session. The host list is /v1/hosts. Faults are set by SetFaults or at
-// FaultsPath.
+// Package kv is a stand-in for the platform's key-value service and host list.
+// It serves the part of the Consul HTTP API that the platform client uses:
+// /v1/kv with cas, acquire and blocking reads, and /v1/session. The host list is
+// at /v1/hosts. Faults are injected by SetFaults or a PUT to FaultsPath. A Server
+// holds the keys, sessions, host list and faults in memory. Tests, the dev
+// command and the standin command use it.
 package kv
 
 import (
@@ -18,12 +19,13 @@
 )
 
 const (
-	maxWait     = 30 * time.Second
-	defaultWait = 10 * time.Second
-	expiryCheck = 50 * time.Millisecond
+	maxWait             = 30 * time.Second
+	defaultWait         = 10 * time.Second
+	expiryCheckInterval = 50 * time.Millisecond
 )
 
-// Pair is a key as the HTTP API shows it. Value is base64 in JSON.
+// Pair is a key and its value as the HTTP API returns it. Value is base64 in
+// JSON.
 type Pair struct {
 	Key         string
 	Value       []byte
@@ -32,19 +34,19 @@
 	Flags       uint64
 }
 
-// Server is the stand-in. Its zero value is not usable; call New.
-// It is safe for concurrent use.
+// Server serves the store and the host list. Its zero value is not usable; call
+// New. It is safe for concurrent use.
 type Server struct {
-	mu       sync.Mutex
-	index    uint64
-	pairs    map[string]Pair
-	sessions map[string]*session
-	changed  chan struct{} // closed and replaced at every write
-	hosts    hostList
-	calls    map[string]int
-	faults   Faults
-	copied   map[string]Pair // what stale reads answer from
-	now      func() time.Time
+	mu        sync.Mutex
+	index     uint64
+	pairs     map[string]Pair
+	sessions  map[string]*session
+	changed   chan struct{} // closed and replaced at every write
+	hosts     hostList
+	calls     map[string]int
+	faults    Faults
+	staleCopy map[string]Pair // what reads use while Faults.StaleReads is set
+	now       func() time.Time
 }
 
 // New returns an empty store.
@@ -59,7 +61,7 @@
 	}
 }
 
-// Calls returns how often each kind of call was made.
+// Calls returns the number of calls by kind of call.
 func (s *Server) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,30 +72,30 @@
 	return out
 }
 
-func (s *Server) count(kind string) {
+func (s *Server) countCall(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[kind]++
 }
 
-// ServeHTTP answers the platform's HTTP API.
+// ServeHTTP serves the platform's HTTP API and FaultsPath.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == FaultsPath {
 		s.serveFaults(w, r)
 		return
 	}
-	if !s.disturb(w) {
+	if !s.applyFaults(w) {
 		return
 	}
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/kv/"):
 		s.serveKey(w, r, strings.TrimPrefix(r.URL.Path, "/v1/kv/"))
 	case r.URL.Path == "/v1/session/create":
-		s.serveCreate(w, r)
+		s.serveSessionCreate(w, r)
 	case strings.HasPrefix(r.URL.Path, "/v1/session/renew/"):
-		s.serveRenew(w, strings.TrimPrefix(r.URL.Path, "/v1/session/renew/"))
+		s.serveSessionRenew(w, strings.TrimPrefix(r.URL.Path, "/v1/session/renew/"))
 	case strings.HasPrefix(r.URL.Path, "/v1/session/destroy/"):
-		s.serveDestroy(w, strings.TrimPrefix(r.URL.Path, "/v1/session/destroy/"))
+		s.serveSessionDestroy(w, strings.TrimPrefix(r.URL.Path, "/v1/session/destroy/"))
 	case r.URL.Path == "/v1/hosts":
 		s.serveHosts(w, r)
 	default:
@@ -117,28 +119,28 @@
 func (s *Server) serveGet(w http.ResponseWriter, r *http.Request, key string) {
 	after, blocking := parseIndex(r)
 	if blocking {
-		s.count("watch")
-		if s.silent(r) {
+		s.countCall("watch")
+		if s.blockSilentWatch(r) {
 			return
 		}
-		s.wait(r, key, after)
+		s.waitForChange(r, key, after)
 	} else {
-		s.count("get")
+		s.countCall("get")
 	}
 	s.mu.Lock()
-	s.expire()
-	pair, found := s.readable()[key]
+	s.endExpiredSessions()
+	pair, found := s.pairsForReads()[key]
 	index := s.index
 	s.mu.Unlock()
-	names := r.URL.Query().Has("keys")
-	if names {
-		index = pair.ModifyIndex // of the keys that are listed, here one
+	keysOnly := r.URL.Query().Has("keys")
+	if keysOnly {
+		index = pair.ModifyIndex // index of the listed keys, which is one key here
 	}
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	switch {
 	case !found:
 		http.Error(w, "", http.StatusNotFound)
-	case names:
+	case keysOnly:
 		writeJSON(w, []string{key})
 	default:
 		writeJSON(w, []Pair{pair})
@@ -154,6 +156,8 @@
 	return after, err == nil
 }
 
+// waitLimit returns the wait that a blocking read asks for; defaultWait if it is
+// missing, invalid or longer than maxWait.
 func waitLimit(r *http.Request) time.Duration {
 	d, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || d <= 0 || d > maxWait {
@@ -162,14 +166,15 @@
 	return d
 }
 
-// wait blocks until the key's index differs from after or the wait ends.
-func (s *Server) wait(r *http.Request, key string, after uint64) {
+// waitForChange blocks until the key's index differs from after, the wait ends or
+// the caller gives up.
+func (s *Server) waitForChange(r *http.Request, key string, after uint64) {
 	timer := time.NewTimer(waitLimit(r))
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		s.expire()
-		pair := s.readable()[key]
+		s.endExpiredSessions()
+		pair := s.pairsForReads()[key]
 		changed := s.changed
 		s.mu.Unlock()
 		if pair.ModifyIndex != after {
@@ -177,7 +182,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(expiryCheck): // a lapsed session may free the key
+		case <-time.After(expiryCheckInterval): // a session that expired may release the key
 		case <-timer.C:
 			return
 		case <-r.Context().Done():
@@ -187,7 +192,7 @@
 }
 
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request, key string) {
-	s.count("put")
+	s.countCall("put")
 	value, err := io.ReadAll(io.LimitReader(r.Body, kvstore.MaxValueBytes+1))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -201,16 +206,17 @@
 	written := s.put(key, value, r)
 	index := s.pairs[key].ModifyIndex
 	s.mu.Unlock()
-	if s.loseAnswer() {
+	if s.shouldLoseAnswer() {
 		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	writeJSON(w, written)
 }
 
-// put applies a write when its condition holds. The caller holds mu.
+// put applies a write if its cas and acquire conditions hold, and reports whether
+// it did. The caller holds mu.
 func (s *Server) put(key string, value []byte, r *http.Request) bool {
-	s.expire()
+	s.endExpiredSessions()
 	query := r.URL.Query()
 	old := s.pairs[key]
 	next := Pair{Key: key, Value: value, Session: old.Session}
@@ -230,24 +236,24 @@
 	s.index++
 	next.ModifyIndex = s.index
 	s.pairs[key] = next
-	s.announce()
+	s.wakeWatches()
 	return true
 }
 
-// announce wakes every waiting watch. The caller holds mu.
-func (s *Server) announce() {
+// wakeWatches wakes all waiting watches of keys. The caller holds mu.
+func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Server) serveDelete(w http.ResponseWriter, key string) {
-	s.count("delete")
+	s.countCall("delete")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, found := s.pairs[key]; found {
 		delete(s.pairs, key)
 		s.index++
-		s.announce()
+		s.wakeWatches()
 	}
 	writeJSON(w, true)
 }
--- a/standin/kv/session.go
+++ b/standin/kv/session.go
@@ -12,18 +12,19 @@
 	expires time.Time
 }
 
-// expire frees the keys of lapsed sessions. The caller holds mu.
-func (s *Server) expire() {
+// endExpiredSessions ends the sessions that have expired. The caller holds mu.
+func (s *Server) endExpiredSessions() {
 	now := s.now()
 	for id, sess := range s.sessions {
 		if now.After(sess.expires) {
-			s.drop(id)
+			s.endSession(id)
 		}
 	}
 }
 
-// drop ends a session and frees its keys. The caller holds mu.
-func (s *Server) drop(id string) {
+// endSession ends a session and releases the keys that it holds. The caller holds
+// mu.
+func (s *Server) endSession(id string) {
 	delete(s.sessions, id)
 	freed := false
 	for key, pair := range s.pairs {
@@ -37,12 +38,12 @@
 		freed = true
 	}
 	if freed {
-		s.announce()
+		s.wakeWatches()
 	}
 }
 
-func (s *Server) serveCreate(w http.ResponseWriter, r *http.Request) {
-	s.count("session")
+func (s *Server) serveSessionCreate(w http.ResponseWriter, r *http.Request) {
+	s.countCall("session")
 	var req struct{ TTL string }
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -61,10 +62,10 @@
 	writeJSON(w, map[string]string{"ID": id})
 }
 
-func (s *Server) serveRenew(w http.ResponseWriter, id string) {
-	s.count("renew")
+func (s *Server) serveSessionRenew(w http.ResponseWriter, id string) {
+	s.countCall("renew")
 	s.mu.Lock()
-	s.expire()
+	s.endExpiredSessions()
 	sess := s.sessions[id]
 	if sess != nil {
 		sess.expires = s.now().Add(sess.ttl)
@@ -77,10 +78,10 @@
 	writeJSON(w, []map[string]string{{"ID": id}})
 }
 
-func (s *Server) serveDestroy(w http.ResponseWriter, id string) {
-	s.count("session")
+func (s *Server) serveSessionDestroy(w http.ResponseWriter, id string) {
+	s.countCall("session")
 	s.mu.Lock()
-	s.drop(id)
+	s.endSession(id)
 	s.mu.Unlock()
 	writeJSON(w, true)
 }
--- a/standin/runner/runner.go
+++ b/standin/runner/runner.go
@@ -1,7 +1,9 @@
-// Package runner is a stand-in for the platform's runners: they run tasks under
-// leases, obey no order with a token lower than one they have seen, and list
-// what runs and what ended. Time passes only by the calls' argument, so that it
-// serves tests in virtual time as well as processes.
+// Package runner is a stand-in for the platform's runners. A runner runs tasks
+// under a lease, rejects orders with a fencing token lower than the highest that
+// it has seen, and reports running and ended tasks. A Pool holds the state of
+// all runners. Time advances only to the time passed to its methods, so that it
+// works in virtual time as well as in real time. Tests of the scheduler and of
+// the platform, package platform/standin and package soak use it.
 package runner
 
 import (
@@ -14,107 +16,113 @@
 	"github.com/cyclamentray/cyclamentray/internal/steady"
 )
 
-// Task is what a runner knows of a task from its spec.
+// Task describes a task; Options.DescribeTask derives it from the task's spec.
 type Task struct {
 	Request        batch.Resources
-	Work           time.Duration // on a runner of speed 1
-	Checkpoint     time.Duration // work between checkpoints; 0: it saves nothing
-	GangSize       int           // 0 or 1: no gang
-	Fails          bool          // at the end of its work
-	ChecksCapacity bool          // refused when it doesn't fit
+	Work           time.Duration // run time on a runner of speed 1
+	Checkpoint     time.Duration // work between checkpoints; 0: none are taken
+	GangSize       int           // 0 or 1: not part of a gang
+	Fails          bool          // ends with EndFailed once its work is done
+	ChecksCapacity bool          // refused if it exceeds the runner's free capacity
 }
 
-// Options of a Pool.
+// Options configures a Pool.
 type Options struct {
+	// DescribeTask returns the task of an id and a spec.
 	DescribeTask func(batch.TaskID, string) Task
-	GangTimeout  time.Duration // how long a member waits for the others
-	// HasValidTicket, when set, tells whether a start has the ticket that it needs.
-	HasValidTicket func(now steady.Time, on string, o dispatch.StartOrder) bool
-	// OnStart and OnEnd, when set, are told what happens, for checks.
-	OnStart func(now steady.Time, on string, task batch.TaskID, attempt int)
-	OnEnd   func(now steady.Time, on string, task batch.TaskID, attempt int, how batch.EndReason)
-	// OnAcknowledge is told of ends that a scheduler has taken note of.
-	OnAcknowledge func(now steady.Time, on string, end batch.EndedTask)
-}
-
-type key struct {
+	GangTimeout  time.Duration // how long a member waits for the rest of its gang
+	// HasValidTicket, if set, reports whether a start order carries the ticket
+	// that it needs.
+	HasValidTicket func(now steady.Time, runner string, o dispatch.StartOrder) bool
+	// OnStart and OnEnd, if set, are called when a run starts and ends.
+	OnStart func(now steady.Time, runner string, task batch.TaskID, attempt int)
+	OnEnd   func(now steady.Time, runner string, task batch.TaskID, attempt int, reason batch.EndReason)
+	// OnAcknowledge, if set, is called for each ended task that a scheduler has
+	// acknowledged.
+	OnAcknowledge func(now steady.Time, runner string, end batch.EndedTask)
+}
+
+type runKey struct {
 	task    batch.TaskID
 	attempt int
 }
 
+// run is one attempt of a task that runs on a runner.
 type run struct {
-	key
-	task    Task
-	done    time.Duration // work done
-	arrived steady.Time
-	saved   time.Duration
-	halted  bool // stands still
+	runKey
+	task         Task
+	workDone     time.Duration // includes the work of the checkpoint that it started from
+	startedAt    steady.Time
+	checkpointed time.Duration // work saved by the last checkpoint
+	halted       bool          // makes no progress
 }
 
-// Runner is one runner. It is used through its Pool only.
+// Runner is one runner of a Pool. Apart from its exported fields, it changes only
+// through the Pool.
 type Runner struct {
 	batch.Runner
-	Speed float64 // work done in a second
-	Hangs bool    // what it runs makes no progress
+	Speed float64 // work done per unit of time
+	Hangs bool    // its tasks make no progress
 
-	bornAt  steady.Time
-	token   uint64
-	lease   steady.Time
-	runs    map[key]*run
-	highest map[batch.TaskID]int // attempts stopped or ended here
-	ends    []batch.EndedTask
-	next    int64
-	gone    bool
+	bootedAt       steady.Time
+	highestToken   uint64
+	leaseEnd       steady.Time // 0: no lease yet
+	runs           map[runKey]*run
+	highestAttempt map[batch.TaskID]int // highest attempt that was stopped or has ended here
+	endedTasks     []batch.EndedTask
+	lastSequence   int64
+	crashed        bool
 }
 
 // Pool is a set of runners. It is not safe for concurrent use.
 type Pool struct {
-	opts    Options
-	runners map[string]*Runner
-	order   []string
-	at      steady.Time
+	opts      Options
+	runners   map[string]*Runner
+	runnerIDs []string
+	now       steady.Time
 }
 
 // New returns a pool without runners.
 func New(o Options) *Pool { return &Pool{opts: o, runners: make(map[string]*Runner)} }
 
-// Add adds a runner that starts now.
+// Add adds a runner that boots now and does work at the given speed.
 func (p *Pool) Add(now steady.Time, r batch.Runner, speed float64) *Runner {
 	n := &Runner{Runner: r, Speed: speed}
 	p.runners[r.ID] = n
-	p.order = append(p.order, r.ID)
+	p.runnerIDs = append(p.runnerIDs, r.ID)
 	p.boot(n, now)
 	return n
 }
 
 func (p *Pool) boot(r *Runner, now steady.Time) {
-	r.bornAt = now
+	r.bootedAt = now
 	r.Born = int64(now)/int64(time.Millisecond) + 1
-	r.token, r.lease, r.ends, r.next = 0, 0, nil, 0
-	r.runs = make(map[key]*run)
-	r.highest = make(map[batch.TaskID]int)
-	r.gone = false
+	r.highestToken, r.leaseEnd, r.endedTasks, r.lastSequence = 0, 0, nil, 0
+	r.runs = make(map[runKey]*run)
+	r.highestAttempt = make(map[batch.TaskID]int)
+	r.crashed = false
 }
 
-// Crash ends everything on a runner without a word.
+// Crash ends all runs of a runner and the gangs that they are part of. The runner
+// does not report its own ends and answers no orders until Reboot.
 func (p *Pool) Crash(now steady.Time, id string) {
 	p.Advance(now)
 	r := p.runners[id]
-	for _, running := range r.sorted() {
-		p.tell(now, r, running, batch.EndLeaseExpired)
-		p.breakGang(now, running)
+	for _, running := range r.sortedRuns() {
+		p.notifyEnd(now, r, running, batch.EndLeaseExpired)
+		p.endOtherMembers(now, running)
 	}
-	r.runs = make(map[key]*run)
-	r.gone = true
+	r.runs = make(map[runKey]*run)
+	r.crashed = true
 }
 
-// Reboot starts a crashed runner again under its id.
+// Reboot starts a crashed runner again under the same id, with no state.
 func (p *Pool) Reboot(now steady.Time, id string) { p.boot(p.runners[id], now) }
 
-// Runner returns a runner, or nil.
+// Runner returns the runner with an id; nil if there is none.
 func (p *Pool) Runner(id string) *Runner { return p.runners[id] }
 
-// CountTaskRuns returns how many runs there are of a task.
+// CountTaskRuns returns how many runs a task has on all runners.
 func (p *Pool) CountTaskRuns(task batch.TaskID) int {
 	n := 0
 	for _, r := range p.runners {
@@ -127,10 +135,10 @@
 	return n
 }
 
-// CountRuns returns how many runs a runner has.
+// CountRuns returns how many runs the runner has.
 func (r *Runner) CountRuns() int { return len(r.runs) }
 
-// CountJobRuns counts a job's runs on one runner.
+// CountJobRuns returns how many runs a job has on one runner.
 func (p *Pool) CountJobRuns(id, job string) int {
 	n := 0
 	for k := range p.runners[id].runs {
@@ -141,9 +149,9 @@
 	return n
 }
 
-func (r *Runner) clock(now steady.Time) time.Duration { return now.Sub(r.bornAt) }
+func (r *Runner) clock(now steady.Time) time.Duration { return now.Sub(r.bootedAt) }
 
-func (r *Runner) used() batch.Resources {
+func (r *Runner) usedResources() batch.Resources {
 	var sum batch.Resources
 	for _, running := range r.runs {
 		sum = sum.Plus(running.task.Request)
@@ -151,22 +159,22 @@
 	return sum
 }
 
-func (r *Runner) sorted() []*run {
+func (r *Runner) sortedRuns() []*run {
 	out := make([]*run, 0, len(r.runs))
 	for _, running := range r.runs {
 		out = append(out, running)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		a, b := out[i].key, out[j].key
+		a, b := out[i].runKey, out[j].runKey
 		if a.task != b.task {
-			return less(a.task, b.task)
+			return lessTaskID(a.task, b.task)
 		}
 		return a.attempt < b.attempt
 	})
 	return out
 }
 
-func less(a, b batch.TaskID) bool {
+func lessTaskID(a, b batch.TaskID) bool {
 	if a.Job != b.Job {
 		return a.Job < b.Job
 	}
@@ -176,97 +184,100 @@
 	return a.Index < b.Index
 }
 
-// Start carries out a start order.
+// Start handles a start order. Unless the order is fenced or past its deadline,
+// it extends the runner's lease.
 func (p *Pool) Start(now steady.Time, id string, o dispatch.StartOrder) dispatch.Answer {
 	p.Advance(now)
 	r := p.runners[id]
-	if r == nil || r.gone {
+	if r == nil || r.crashed {
 		return dispatch.Unanswered
 	}
-	if o.Token < r.token {
+	if o.Token < r.highestToken {
 		return dispatch.Fenced
 	}
-	r.token = o.Token
+	r.highestToken = o.Token
 	if o.Deadline <= r.clock(now) {
 		return dispatch.DeadlinePassed
 	}
-	r.extend(o.Deadline)
-	k := key{o.Task, o.Attempt}
+	r.extendLease(o.Deadline)
+	k := runKey{o.Task, o.Attempt}
 	if r.runs[k] != nil {
 		return dispatch.Accepted
 	}
-	if o.Attempt <= r.highest[o.Task] {
+	if o.Attempt <= r.highestAttempt[o.Task] {
 		return dispatch.Superseded
 	}
 	if p.opts.HasValidTicket != nil && !p.opts.HasValidTicket(now, id, o) {
 		return dispatch.InvalidTicket
 	}
 	task := p.opts.DescribeTask(o.Task, o.Spec)
-	if task.ChecksCapacity && !r.used().Plus(task.Request).Fits(r.Capacity) {
+	if task.ChecksCapacity && !r.usedResources().Plus(task.Request).Fits(r.Capacity) {
 		return dispatch.InsufficientCapacity
 	}
 	saved, err := time.ParseDuration(o.Checkpoint)
 	if err != nil {
 		saved = 0 // no checkpoint
 	}
-	r.runs[k] = &run{key: k, task: task, done: saved, saved: saved, arrived: now}
+	r.runs[k] = &run{runKey: k, task: task, workDone: saved, checkpointed: saved, startedAt: now}
 	if p.opts.OnStart != nil {
 		p.opts.OnStart(now, id, o.Task, o.Attempt)
 	}
 	return dispatch.Accepted
 }
 
-func (r *Runner) extend(deadline time.Duration) {
-	r.lease = max(r.lease, r.bornAt.Add(deadline))
+func (r *Runner) extendLease(deadline time.Duration) {
+	r.leaseEnd = max(r.leaseEnd, r.bootedAt.Add(deadline))
 }
 
-// Stop carries out a stop order.
+// Stop handles a stop order. A task with checkpoints is checkpointed first, and
+// attempts up to the stopped one can't start any more.
 func (p *Pool) Stop(now steady.Time, id string, o dispatch.StopOrder) dispatch.Answer {
 	p.Advance(now)
 	r := p.runners[id]
-	if r == nil || r.gone {
+	if r == nil || r.crashed {
 		return dispatch.Unanswered
 	}
-	if o.Token < r.token {
+	if o.Token < r.highestToken {
 		return dispatch.Fenced
 	}
-	r.token = o.Token
-	r.highest[o.Task] = max(r.highest[o.Task], o.Attempt)
-	if running := r.runs[key{o.Task, o.Attempt}]; running != nil {
+	r.highestToken = o.Token
+	r.highestAttempt[o.Task] = max(r.highestAttempt[o.Task], o.Attempt)
+	if running := r.runs[runKey{o.Task, o.Attempt}]; running != nil {
 		if running.task.Checkpoint > 0 {
-			running.saved = running.done
+			running.checkpointed = running.workDone
 		}
-		p.end(now, r, running, batch.EndStopped)
+		p.endRun(now, r, running, batch.EndStopped)
 	}
 	return dispatch.Accepted
 }
 
-// Hold carries out a hold.
+// Hold handles a hold order: it extends the lease, drops the ends that the
+// scheduler has acknowledged, and returns the running and ended tasks.
 func (p *Pool) Hold(now steady.Time, id string, o dispatch.HoldOrder) (batch.Report, dispatch.Answer) {
 	p.Advance(now)
 	r := p.runners[id]
-	if r == nil || r.gone {
+	if r == nil || r.crashed {
 		return batch.Report{}, dispatch.Unanswered
 	}
-	if o.Token < r.token {
+	if o.Token < r.highestToken {
 		return batch.Report{}, dispatch.Fenced
 	}
-	r.token = o.Token
+	r.highestToken = o.Token
 	if o.Deadline > r.clock(now) {
-		r.extend(o.Deadline)
+		r.extendLease(o.Deadline)
 	}
-	p.acknowledge(now, r, o.Acknowledged)
-	report := batch.Report{Born: r.Born, Clock: r.clock(now), Ended: slices.Clone(r.ends)}
-	for _, running := range r.sorted() {
+	p.dropAcknowledgedEnds(now, r, o.Acknowledged)
+	report := batch.Report{Born: r.Born, Clock: r.clock(now), Ended: slices.Clone(r.endedTasks)}
+	for _, running := range r.sortedRuns() {
 		report.Running = append(report.Running, batch.RunningTask{
-			Task: running.key.task, Attempt: running.attempt, Checkpoint: running.checkpoint(), Percent: running.percent(),
+			Task: running.runKey.task, Attempt: running.attempt, Checkpoint: running.checkpointText(), Percent: running.percent(),
 		})
 	}
 	return report, dispatch.Accepted
 }
 
-func (p *Pool) acknowledge(now steady.Time, r *Runner, until int64) {
-	r.ends = slices.DeleteFunc(r.ends, func(e batch.EndedTask) bool {
+func (p *Pool) dropAcknowledgedEnds(now steady.Time, r *Runner, until int64) {
+	r.endedTasks = slices.DeleteFunc(r.endedTasks, func(e batch.EndedTask) bool {
 		if e.Sequence > until {
 			return false
 		}
@@ -277,90 +288,92 @@
 	})
 }
 
-// HasUnacknowledgedEnds reports whether a runner lists ends beyond an acknowledged one.
+// HasUnacknowledgedEnds reports whether a runner has ended tasks with a sequence
+// number above the acknowledged one.
 func (p *Pool) HasUnacknowledgedEnds(id string, acknowledged int64) bool {
 	r := p.runners[id]
-	return r != nil && slices.ContainsFunc(r.ends, func(e batch.EndedTask) bool { return e.Sequence > acknowledged })
+	return r != nil && slices.ContainsFunc(r.endedTasks, func(e batch.EndedTask) bool { return e.Sequence > acknowledged })
 }
 
-func (r *run) checkpoint() string {
-	if r.saved == 0 {
+func (r *run) checkpointText() string {
+	if r.checkpointed == 0 {
 		return ""
 	}
-	return r.saved.String()
+	return r.checkpointed.String()
 }
 
 func (r *run) percent() int {
 	if r.task.Work <= 0 {
 		return 0
 	}
-	return int(min(100, 100*r.done/r.task.Work))
+	return int(min(100, 100*r.workDone/r.task.Work))
 }
 
-// step is the grain in which time passes for what runs.
-const step = 10 * time.Millisecond
+// timeStep is the longest step by which Advance moves the runs forward.
+const timeStep = 10 * time.Millisecond
 
-// Advance lets time pass until now.
+// Advance moves all runs forward to now.
 func (p *Pool) Advance(now steady.Time) {
-	if p.at == 0 {
-		p.at = now
+	if p.now == 0 {
+		p.now = now
 	}
-	for p.at < now {
-		next := min(now, p.at.Add(step))
-		p.pass(next, next.Sub(p.at))
-		p.at = next
+	for p.now < now {
+		next := min(now, p.now.Add(timeStep))
+		p.advanceStep(next, next.Sub(p.now))
+		p.now = next
 	}
 }
 
-func (p *Pool) pass(now steady.Time, took time.Duration) {
-	for _, id := range p.order {
+func (p *Pool) advanceStep(now steady.Time, elapsed time.Duration) {
+	for _, id := range p.runnerIDs {
 		r := p.runners[id]
-		for _, running := range r.sorted() {
-			if r.runs[running.key] == running {
-				p.passRun(now, took, r, running)
+		for _, running := range r.sortedRuns() {
+			if r.runs[running.runKey] == running {
+				p.advanceRun(now, elapsed, r, running)
 			}
 		}
 	}
 }
 
-func (p *Pool) passRun(now steady.Time, took time.Duration, r *Runner, running *run) {
+func (p *Pool) advanceRun(now steady.Time, elapsed time.Duration, r *Runner, running *run) {
 	switch {
-	case now.After(r.lease):
-		p.end(now, r, running, batch.EndLeaseExpired)
-	case running.task.GangSize > 1 && p.present(running) < running.task.GangSize:
-		if now.Sub(running.arrived) > p.opts.GangTimeout {
-			p.end(now, r, running, batch.EndGangTimeout)
+	case now.After(r.leaseEnd):
+		p.endRun(now, r, running, batch.EndLeaseExpired)
+	case running.task.GangSize > 1 && p.memberCount(running) < running.task.GangSize:
+		if now.Sub(running.startedAt) > p.opts.GangTimeout {
+			p.endRun(now, r, running, batch.EndGangTimeout)
 		}
 	default:
-		p.work(now, took, r, running)
+		p.advanceWork(now, elapsed, r, running)
 	}
 }
 
-func (p *Pool) work(now steady.Time, took time.Duration, r *Runner, running *run) {
+func (p *Pool) advanceWork(now steady.Time, elapsed time.Duration, r *Runner, running *run) {
 	if !r.Hangs && !running.halted {
-		running.done += time.Duration(float64(took) * r.Speed)
+		running.workDone += time.Duration(float64(elapsed) * r.Speed)
 	}
 	if c := running.task.Checkpoint; c > 0 {
-		running.saved = max(running.saved, running.done/c*c)
+		running.checkpointed = max(running.checkpointed, running.workDone/c*c)
 	}
-	if running.done < running.task.Work {
+	if running.workDone < running.task.Work {
 		return
 	}
 	if running.task.Fails {
-		p.end(now, r, running, batch.EndFailed)
+		p.endRun(now, r, running, batch.EndFailed)
 		return
 	}
-	if p.slowest(running) >= running.task.Work {
-		p.finish(now, running)
+	if p.leastWorkDone(running) >= running.task.Work {
+		p.finishRun(now, running)
 	}
 }
 
-// members returns the runs of a run's gang with their runners.
-func (p *Pool) members(of *run) map[*run]*Runner {
+// gangMembers returns the runs of the gang that a run is part of, each with its
+// runner.
+func (p *Pool) gangMembers(of *run) map[*run]*Runner {
 	out := make(map[*run]*Runner)
 	for _, r := range p.runners {
 		for k, running := range r.runs {
-			same := k.task.Job == of.key.task.Job && k.task.Step == of.key.task.Step && k.task.Occurrence == of.key.task.Occurrence
+			same := k.task.Job == of.runKey.task.Job && k.task.Step == of.runKey.task.Step && k.task.Occurrence == of.runKey.task.Occurrence
 			if same && k.attempt == of.attempt {
 				out[running] = r
 			}
@@ -369,61 +382,61 @@
 	return out
 }
 
-func (p *Pool) present(of *run) int { return len(p.members(of)) }
+func (p *Pool) memberCount(of *run) int { return len(p.gangMembers(of)) }
 
-func (p *Pool) slowest(of *run) time.Duration {
-	least := of.done
+func (p *Pool) leastWorkDone(of *run) time.Duration {
+	least := of.workDone
 	if of.task.GangSize > 1 {
-		for member := range p.members(of) {
-			least = min(least, member.done)
+		for member := range p.gangMembers(of) {
+			least = min(least, member.workDone)
 		}
 	}
 	return least
 }
 
-func (p *Pool) finish(now steady.Time, of *run) {
+func (p *Pool) finishRun(now steady.Time, of *run) {
 	if of.task.GangSize <= 1 {
 		for _, r := range p.runners {
-			if r.runs[of.key] == of {
-				p.conclude(now, r, of, batch.EndDone)
+			if r.runs[of.runKey] == of {
+				p.recordEnd(now, r, of, batch.EndDone)
 			}
 		}
 		return
 	}
-	for member, r := range p.members(of) {
-		p.conclude(now, r, member, batch.EndDone)
+	for member, r := range p.gangMembers(of) {
+		p.recordEnd(now, r, member, batch.EndDone)
 	}
 }
 
-// end ends a run, and breaks its gang.
-func (p *Pool) end(now steady.Time, r *Runner, running *run, how batch.EndReason) {
-	p.conclude(now, r, running, how)
-	p.breakGang(now, running)
+// endRun ends a run and the other runs of its gang.
+func (p *Pool) endRun(now steady.Time, r *Runner, running *run, reason batch.EndReason) {
+	p.recordEnd(now, r, running, reason)
+	p.endOtherMembers(now, running)
 }
 
-func (p *Pool) breakGang(now steady.Time, ended *run) {
+func (p *Pool) endOtherMembers(now steady.Time, ended *run) {
 	if ended.task.GangSize <= 1 {
 		return
 	}
-	for member, r := range p.members(ended) {
+	for member, r := range p.gangMembers(ended) {
 		if member != ended {
-			p.conclude(now, r, member, batch.EndGangMemberEnded)
+			p.recordEnd(now, r, member, batch.EndGangMemberEnded)
 		}
 	}
 }
 
-func (p *Pool) conclude(now steady.Time, r *Runner, running *run, how batch.EndReason) {
-	delete(r.runs, running.key)
-	r.highest[running.key.task] = max(r.highest[running.key.task], running.attempt)
-	r.next++
-	r.ends = append(r.ends, batch.EndedTask{
-		Sequence: r.next, Task: running.key.task, Attempt: running.attempt, Reason: how, Checkpoint: running.checkpoint(),
+func (p *Pool) recordEnd(now steady.Time, r *Runner, running *run, reason batch.EndReason) {
+	delete(r.runs, running.runKey)
+	r.highestAttempt[running.runKey.task] = max(r.highestAttempt[running.runKey.task], running.attempt)
+	r.lastSequence++
+	r.endedTasks = append(r.endedTasks, batch.EndedTask{
+		Sequence: r.lastSequence, Task: running.runKey.task, Attempt: running.attempt, Reason: reason, Checkpoint: running.checkpointText(),
 	})
-	p.tell(now, r, running, how)
+	p.notifyEnd(now, r, running, reason)
 }
 
-func (p *Pool) tell(now steady.Time, r *Runner, running *run, how batch.EndReason) {
+func (p *Pool) notifyEnd(now steady.Time, r *Runner, running *run, reason batch.EndReason) {
 	if p.opts.OnEnd != nil {
-		p.opts.OnEnd(now, r.ID, running.key.task, running.attempt, how)
+		p.opts.OnEnd(now, r.ID, running.runKey.task, running.attempt, reason)
 	}
 }
--- a/standin/upstream/upstream.go
+++ b/standin/upstream/upstream.go
@@ -1,5 +1,7 @@
-// Package upstream is a stand-in for one runner of a service that takes short
-// requests, for tests, benchmarks and the dev command.
+// Package upstream is a stand-in for one upstream: an HTTP server of a service
+// that takes short requests. It holds counters of the requests it has seen and
+// the number of executions of each idempotency key. Tests, benchmarks, the dev
+// command and the standin command use it.
 package upstream
 
 import (
@@ -17,26 +19,27 @@
 	defaultSpeed = 1.0
 )
 
-// Headers that an upstream and an entry host agree on.
+// Headers of requests and answers between entry hosts and upstreams.
 const (
 	headerOutcome = "Cyclamentray-Outcome"
 	headerReason  = "Cyclamentray-Reason"
 	headerRequest = "Cyclamentray-Request"
 	headerKey     = "Idempotency-Key"
-	headerWork    = "Work-Micros" // asks for this much work, in microseconds at speed 1
+	headerWork    = "Work-Micros" // work of this request, in microseconds at speed 1
 )
 
-// Options configure a stand-in upstream.
+// Options configures a stand-in upstream.
 type Options struct {
 	Name  string
-	Slots int           // requests worked on at once; 0: 8
+	Slots int           // requests executed at once; 0: 8
 	Work  time.Duration // work of a request at speed 1; the header Work-Micros overrides it
-	Speed float64       // divides the work; 0: 1
-	// Answer, when set, builds the answer's body in place of the default identity.
+	Speed float64       // the time of a request is its work divided by this; 0: 1
+	// Answer, if set, builds the body of an answer; nil: the body is an Identity.
 	Answer func(r *http.Request, body []byte) []byte
 }
 
-// Identity is the body of an answer: who ran which request.
+// Identity is the default body of an answer: it names the upstream and the
+// request that it executed.
 type Identity struct {
 	Upstream  string `json:"upstream"`
 	Method    string `json:"method"`
@@ -46,24 +49,25 @@
 	Body      string `json:"body,omitempty"`
 }
 
-// Upstream is the stand-in. It is an http.Handler, safe for concurrent use.
+// Upstream is an http.Handler that executes requests in a limited number of
+// slots. It is safe for concurrent use.
 type Upstream struct {
 	opts  Options
 	slots chan struct{}
 
-	leaving   atomic.Bool
-	executed  atomic.Int64
-	refused   atomic.Int64
-	arrived   atomic.Int64
-	present   atomic.Int64
-	peak      atomic.Int64
-	lastStart atomic.Int64 // Unix nanoseconds
+	leaving      atomic.Bool
+	executed     atomic.Int64
+	refused      atomic.Int64
+	arrived      atomic.Int64
+	inFlight     atomic.Int64
+	peakInFlight atomic.Int64
+	lastStart    atomic.Int64 // Unix nanoseconds
 
-	mu     sync.Mutex
-	perKey map[string]int
+	mu              sync.Mutex
+	executionsByKey map[string]int
 }
 
-// New returns an upstream with free slots.
+// New returns an upstream that accepts requests.
 func New(o Options) *Upstream {
 	if o.Slots <= 0 {
 		o.Slots = defaultSlots
@@ -71,14 +75,14 @@
 	if o.Speed <= 0 {
 		o.Speed = defaultSpeed
 	}
-	return &Upstream{opts: o, slots: make(chan struct{}, o.Slots), perKey: make(map[string]int)}
+	return &Upstream{opts: o, slots: make(chan struct{}, o.Slots), executionsByKey: make(map[string]int)}
 }
 
 // Leave makes the upstream refuse new requests with 503 and Connection: close.
-// Requests already being worked on finish.
+// Requests that it has already accepted finish.
 func (u *Upstream) Leave() { u.leaving.Store(true) }
 
-// Rejoin takes new requests again.
+// Rejoin makes the upstream accept new requests again after Leave.
 func (u *Upstream) Rejoin() { u.leaving.Store(false) }
 
 // Executed returns how many requests were executed.
@@ -87,25 +91,26 @@
 // Refused returns how many requests were refused because the upstream is leaving.
 func (u *Upstream) Refused() int64 { return u.refused.Load() }
 
-// PeakInFlight returns the largest number of requests that were present at once,
-// waiting for a slot or being worked on.
-func (u *Upstream) PeakInFlight() int64 { return u.peak.Load() }
+// PeakInFlight returns the largest number of requests that were in flight at
+// once, waiting for a slot or executing.
+func (u *Upstream) PeakInFlight() int64 { return u.peakInFlight.Load() }
 
-// LastExecutionStart returns when the last execution began; zero: never.
+// LastExecutionStart returns when the last execution began; the Unix epoch if
+// there was none.
 func (u *Upstream) LastExecutionStart() time.Time { return time.Unix(0, u.lastStart.Load()) }
 
 // ExecutionsByKey returns how often each idempotency key was executed.
 func (u *Upstream) ExecutionsByKey() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make(map[string]int, len(u.perKey))
-	for k, n := range u.perKey {
+	out := make(map[string]int, len(u.executionsByKey))
+	for k, n := range u.executionsByKey {
 		out[k] = n
 	}
 	return out
 }
 
-// ServeHTTP works on a request, or refuses it while leaving.
+// ServeHTTP executes a request, or refuses it while the upstream is leaving.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	u.arrived.Add(1)
 	if id := r.Header.Get(headerRequest); id != "" {
@@ -119,8 +124,8 @@
 	if err != nil {
 		return
 	}
-	u.enter()
-	defer u.present.Add(-1)
+	u.countInFlight()
+	defer u.inFlight.Add(-1)
 	u.slots <- struct{}{}
 	defer func() { <-u.slots }()
 	answer := u.execute(r, body)
@@ -140,28 +145,28 @@
 	http.Error(w, "leaving", http.StatusServiceUnavailable)
 }
 
-func (u *Upstream) enter() {
-	n := u.present.Add(1)
+func (u *Upstream) countInFlight() {
+	n := u.inFlight.Add(1)
 	for {
-		old := u.peak.Load()
-		if n <= old || u.peak.CompareAndSwap(old, n) {
+		old := u.peakInFlight.Load()
+		if n <= old || u.peakInFlight.CompareAndSwap(old, n) {
 			return
 		}
 	}
 }
 
-// execute counts the request as executed before any work, so that a cut or
-// killed answer still counts.
+// execute counts the request as executed before it does the work, so that a
+// request whose connection is cut before the answer is counted too.
 func (u *Upstream) execute(r *http.Request, body []byte) []byte {
 	u.lastStart.Store(time.Now().UnixNano())
 	n := u.executed.Add(1)
 	key := r.Header.Get(headerKey)
 	if key != "" {
 		u.mu.Lock()
-		u.perKey[key]++
+		u.executionsByKey[key]++
 		u.mu.Unlock()
 	}
-	time.Sleep(u.work(r))
+	time.Sleep(u.workDuration(r))
 	if u.opts.Answer != nil {
 		return u.opts.Answer(r, body)
 	}
@@ -170,7 +175,7 @@
 	return answer
 }
 
-func (u *Upstream) work(r *http.Request) time.Duration {
+func (u *Upstream) workDuration(r *http.Request) time.Duration {
 	work := u.opts.Work
 	if micros, err := strconv.Atoi(r.Header.Get(headerWork)); err == nil {
 		work = time.Duration(micros) * time.Microsecond
