--- a/cmd/cyclamentray-batchd/main.go
+++ b/cmd/cyclamentray-batchd/main.go
@@ -1,6 +1,6 @@
-// Command cyclamentray-batchd is one host of the batch scheduler on the users'
-// platform. It exits with 0 after a drain, 1 on a failure and 2 when its
-// settings are wrong.
+// Command cyclamentray-batchd runs one host of the batch scheduler on the users'
+// platform. It exits with 0 after a drain, 1 on a failure and 2 on invalid
+// options or settings.
 package main
 
 import (
@@ -34,15 +34,16 @@
 	exitFailed = 1
 	exitUsage  = 2
 
-	// memoryShare of the host's limit is the collector's target; the rest holds
-	// what the runtime doesn't count.
-	memoryShare = 0.6
+	// memoryLimitShare is the part of the host's memory limit that is set as the
+	// garbage collector's limit; the rest is for memory that the runtime doesn't
+	// count.
+	memoryLimitShare = 0.6
 
-	// collectPercent trades a little processor time for a small heap.
-	collectPercent = 60
+	// gcPercent keeps the heap small at the cost of a little CPU time.
+	gcPercent = 60
 
-	megabyte   = 1 << 20
-	flushLimit = 300 * time.Millisecond // for the last log lines
+	megabyte        = 1 << 20
+	logFlushTimeout = 300 * time.Millisecond // for the last log lines on exit
 )
 
 type options struct {
@@ -69,22 +70,22 @@
 		fmt.Fprintln(os.Stderr, "cyclamentray-batchd:", err)
 		return exitUsage
 	}
-	debug.SetGCPercent(collectPercent)
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * megabyte))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitShare * megabyte))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	out := telemetry.NewAsyncWriter(os.Stdout)
 	defer func() {
-		limit, cancel := context.WithTimeout(context.Background(), flushLimit)
+		flushCtx, cancel := context.WithTimeout(context.Background(), logFlushTimeout)
 		defer cancel()
-		out.Close(limit.Done())
+		out.Close(flushCtx.Done())
 	}()
 	logger := telemetry.NewStructuredLogger(out, o.LogLevel).With("host", s.Host)
-	watched := platform.NewSettingsWatcher(o.Settings, s, logger)
+	settingsWatcher := platform.NewSettingsWatcher(o.Settings, s, logger)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	go watched.Run(ctx, reload)
-	h := newHost(watched, logger, out)
+	go settingsWatcher.Run(ctx, reload)
+	h := newHost(settingsWatcher, logger, out)
 	if o.MetricsPort > 0 {
 		h.MetricsAddress = net.JoinHostPort(s.Address, strconv.Itoa(o.MetricsPort))
 	}
@@ -95,22 +96,22 @@
 	return 0
 }
 
-func newHost(watched *platform.SettingsWatcher, logger *log.Logger, out *telemetry.AsyncWriter) *host.Host {
+func newHost(settingsWatcher *platform.SettingsWatcher, logger *log.Logger, out *telemetry.AsyncWriter) *host.Host {
 	set := metrics.NewSet()
 	set.NewGauge("cyclamentray_log_lines_dropped", func() float64 { return float64(out.Dropped()) })
-	s := watched.Current()
+	s := settingsWatcher.Current()
 	replica := ledger.NewReplica(logger)
-	direct := platform.NewStoreClient(s.StoreAddress)
+	directStore := platform.NewStoreClient(s.StoreAddress)
 	peers := peer.NewPool(peer.Options{Host: s.Host})
-	others := host.PeerAddresses(replica, s.Host)
+	peerAddresses := host.PeerAddresses(replica, s.Host)
 	store := &kvstore.Fallback{
-		Direct:    direct,
+		Direct:    directStore,
 		Peers:     peers,
-		Addresses: others,
+		Addresses: peerAddresses,
 		ProbeKey:  ledger.LeaderKey,
 		Metrics:   set,
 	}
-	followed := conditions.New(store, platform.EntryFormat, s.HeartbeatInterval, logger)
+	currentConditions := conditions.New(store, platform.EntryFormat, s.HeartbeatInterval, logger)
 	runners := platform.NewRunnerClient()
 	var adviser dispatch.Adviser
 	if s.AdviceAddress != "" {
@@ -125,28 +126,28 @@
 		GracePeriod:      s.Bounds.Grace,
 		Cores:            s.Cores,
 		Store:            store,
-		DirectStore:      direct,
+		DirectStore:      directStore,
 		Peers:            peers,
 		Adviser:          adviser,
-		Conditions:       followed,
+		Conditions:       currentConditions,
 		Replica:          replica,
 		NewAPIHandler:    func(in *intake.Intake) http.Handler { return &platform.APIHandler{Intake: in} },
 		Log:              logger,
 		Metrics:          set,
 		Dispatch: func() dispatch.Options {
-			bounds := watched.Current().Bounds
+			bounds := settingsWatcher.Current().Bounds
 			return dispatch.Options{
 				Store:         store,
 				Replica:       replica,
 				Runners:       runners,
-				AdviserRoutes: dispatch.AdviserRoutes{Local: adviser, Peers: peers, Hosts: others},
-				Conditions:    followed,
+				AdviserRoutes: dispatch.AdviserRoutes{Local: adviser, Peers: peers, Hosts: peerAddresses},
+				Conditions:    currentConditions,
 				Log:           logger,
 				Metrics:       set,
 				Now:           now,
 				RunnerLease:   bounds.RunnerLease,
 				Cores:         s.Cores,
-				Early:         bounds.Early / 2, // the rest covers the clocks' differences
+				Early:         bounds.Early / 2, // the other half covers differences between clocks
 				RemoteFactor:  bounds.RemoteX,
 			}
 		},
--- a/cmd/cyclamentray-soak/main.go
+++ b/cmd/cyclamentray-soak/main.go
@@ -1,5 +1,6 @@
 // Command cyclamentray-soak runs hosts as processes under random faults and
-// checks what callers and runners see. It exits with 1 when a check failed.
+// checks what callers and runners observe, for one seed after the other. It
+// exits with 1 if a run or a check failed and with 2 on invalid options.
 package main
 
 import (
@@ -44,23 +45,23 @@
 	defer stop()
 	code := 0
 	for seed := o.Seed; seed < o.Seed+o.Seeds && ctx.Err() == nil; seed++ {
-		if !play(ctx, o, seed) {
+		if !runSeed(ctx, o, seed) {
 			code = exitFailed
 		}
 	}
 	return code
 }
 
-func play(ctx context.Context, o options, seed uint64) bool {
+func runSeed(ctx context.Context, o options, seed uint64) bool {
 	dir, err := soak.TempDir()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cyclamentray-soak:", err)
 		return false
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	options := soak.Options{Binary: o.Binary, Dir: dir, Seed: seed, FaultPeriod: o.Length, Hosts: o.Hosts, Runners: o.Runners}
 	if o.Verbose {
-		options.Log = func(text string) { fmt.Printf("%8.2f  %s\n", time.Since(began).Seconds(), text) }
+		options.Log = func(text string) { fmt.Printf("%8.2f  %s\n", time.Since(startedAt).Seconds(), text) }
 	}
 	report, err := soak.Run(ctx, options)
 	if err != nil {
--- a/cmd/cyclamentray/main.go
+++ b/cmd/cyclamentray/main.go
@@ -1,4 +1,4 @@
-// Command cyclamentray is the command line of operators and callers.
+// Command cyclamentray is the command-line client of operators and callers.
 // Its exit codes are listed in docs/operators/cli.md.
 package main
 
--- a/cmd/cyclamentrayd/main.go
+++ b/cmd/cyclamentrayd/main.go
@@ -1,6 +1,7 @@
-// Command cyclamentrayd is one entry host: it takes callers' requests and
-// jobs, and schedules its failure domain when it holds the term. It exits with
-// 0 after a drain, 1 on a failure and 2 when its settings are wrong.
+// Command cyclamentrayd runs one entry host: it accepts callers' requests and
+// jobs, and schedules its failure domain while it holds the scheduler's term. It
+// exits with 0 after a drain, 1 on a failure and 2 on invalid options or
+// settings.
 package main
 
 import (
@@ -23,11 +24,12 @@
 	exitUsage  = 2
 )
 
-// The collector runs less often than by default: a host's heap is a small part
-// of the memory that control may take. GOGC and GOMEMLIMIT outrank both.
+// Settings of the garbage collector. It runs less often than by default, since a
+// host's heap is a small part of the memory that the control plane may use. The
+// environment variables GOGC and GOMEMLIMIT take precedence.
 const (
-	collectPercent = 400
-	memoryLimit    = 100 << 20 // bytes
+	gcPercent        = 400
+	memoryLimitBytes = 100 << 20 // bytes
 )
 
 type options struct {
@@ -51,7 +53,7 @@
 		fmt.Fprintln(os.Stderr, "cyclamentrayd:", err)
 		os.Exit(exitUsage)
 	}
-	tuneCollector()
+	tuneGC()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := serve(ctx, loaded); err != nil {
@@ -60,12 +62,12 @@
 	}
 }
 
-func tuneCollector() {
+func tuneGC() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	if os.Getenv("GOMEMLIMIT") == "" {
-		debug.SetMemoryLimit(memoryLimit)
+		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 }
 
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs one stand-in of an outside system as a process of its
-// own, for tests: the platform's key-value service, a worker or an upstream.
-// It prints its address on the first line.
+// Command standin runs one stand-in for an external system as a process, for
+// tests: the platform's key-value service, a worker or an upstream. It prints its
+// address as its first line.
 package main
 
 import (
@@ -47,7 +47,7 @@
 }
 
 func run(ctx context.Context, o options) error {
-	handler, err := handler(o)
+	handler, err := newHandler(o)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func handler(o options) (http.Handler, error) {
+func newHandler(o options) (http.Handler, error) {
 	switch o.Args.Kind {
 	case "kv":
 		return kv.New(), nil
--- a/standin/keyspace/keyspace.go
+++ b/standin/keyspace/keyspace.go
@@ -1,5 +1,7 @@
-// Package keyspace is a stand-in for the platform's store in memory, with
-// transactions, leases and watches, and with faults on demand.
+// Package keyspace is an in-memory stand-in for the platform's store, with
+// transactions, leases, watches and fault injection. A Store holds the items,
+// the history of changes and the leases. Tests, package platform/standin and
+// package soak use it.
 package keyspace
 
 import (
@@ -13,34 +15,35 @@
 	"github.com/cyclamentray/cyclamentray/kvstore"
 )
 
-// Outcome is what a fault does to a call.
+// Outcome tells how a call to the store ends. Calls other than Commit treat every
+// outcome except Served as Refused.
 type Outcome int
 
 // The outcomes.
 const (
 	Served                Outcome = iota
-	Refused                       // nothing is done, and the caller is told
-	AnswerLost                    // it is done, and the answer is lost
-	AnswerLostAppliedLate         // the answer is lost, and it is done after ApplyDelay
+	Refused                       // not applied; the caller gets kvstore.ErrUnavailable
+	AnswerLost                    // a commit is applied; the caller gets kvstore.ErrAmbiguous
+	AnswerLostAppliedLate         // as AnswerLost, but applied only after Options.ApplyDelay
 )
 
-// Call is one call, as a fault sees it.
+// Call describes a call to Options.Fault.
 type Call struct {
 	Write bool
-	Key   string // or prefix; of a transaction, its first put
+	Key   string // key or prefix; the key of the first put of a transaction
 }
 
-// Options of a Store.
+// Options configures a Store.
 type Options struct {
 	Now        func() steady.Time // nil: steady.Now
 	Fault      func(Call) Outcome // nil: every call is served
-	ApplyDelay time.Duration      // how late an AnswerLostAppliedLate call is done
+	ApplyDelay time.Duration      // until a commit with AnswerLostAppliedLate is applied
 }
 
-// tick is how often a waiting watch looks for leases that ran out.
-const tick = 10 * time.Millisecond
+// leaseCheckInterval is how often a waiting watch checks for expired leases.
+const leaseCheckInterval = 10 * time.Millisecond
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store implements kvstore.Keyspace in memory. It is safe for concurrent use.
 type Store struct {
 	opts Options
 
@@ -48,7 +51,7 @@
 	revision  uint64
 	items     map[string]kvstore.Item
 	history   []kvstore.Event
-	compacted uint64 // history up to this revision is gone
+	compacted uint64 // history up to and including this revision was dropped
 	leases    map[uint64]*lease
 	changed   chan struct{} // closed and replaced at each change
 }
@@ -84,7 +87,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.endExpiredLeases()
 	item, ok := s.items[key]
 	if !ok {
 		return kvstore.Item{}, kvstore.ErrNotFound
@@ -99,7 +102,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.endExpiredLeases()
 	var out []kvstore.Item
 	for key, item := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -115,25 +118,25 @@
 	if s.opts.Fault(Call{Key: prefix}) != Served {
 		return nil, 0, kvstore.ErrUnavailable
 	}
-	limit := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
-		events, asOf, changed, err := s.since(prefix, after)
-		if err != nil || len(events) > 0 || time.Now().After(limit) {
+		events, asOf, changed, err := s.eventsSince(prefix, after)
+		if err != nil || len(events) > 0 || time.Now().After(deadline) {
 			return events, asOf, err
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(tick, time.Until(limit)+time.Millisecond)):
+		case <-time.After(min(leaseCheckInterval, time.Until(deadline)+time.Millisecond)):
 		case <-ctx.Done():
 			return nil, 0, kvstore.ErrUnavailable
 		}
 	}
 }
 
-func (s *Store) since(prefix string, after uint64) ([]kvstore.Event, uint64, chan struct{}, error) {
+func (s *Store) eventsSince(prefix string, after uint64) ([]kvstore.Event, uint64, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.endExpiredLeases()
 	if after < s.compacted {
 		return nil, 0, nil, kvstore.ErrCompacted
 	}
@@ -146,7 +149,8 @@
 	return out, s.revision, s.changed, nil
 }
 
-// Compact drops the history.
+// Compact drops the history of changes. Watches from before the present
+// revision fail with kvstore.ErrCompacted.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,51 +167,52 @@
 	case Refused:
 		return 0, kvstore.ErrUnavailable
 	case AnswerLostAppliedLate:
-		time.AfterFunc(s.opts.ApplyDelay, func() { _, _ = s.apply(txn) }) // nobody hears of it
+		time.AfterFunc(s.opts.ApplyDelay, func() { _, _ = s.apply(txn) }) // the answer is lost
 		return 0, kvstore.ErrAmbiguous
 	case AnswerLost:
-		_, _ = s.apply(txn) // nobody hears of it
+		_, _ = s.apply(txn) // the answer is lost
 		return 0, kvstore.ErrAmbiguous
 	}
 	return s.apply(txn)
 }
 
-// WriteWithoutFaults applies a transaction without conditions past all faults.
+// WriteWithoutFaults applies the puts and deletes of a transaction. It ignores
+// the transaction's conditions and injects no faults.
 func (s *Store) WriteWithoutFaults(txn kvstore.Txn) {
 	txn.If = nil
-	_, _ = s.apply(txn) // only a lease could be missing, and none is named
+	_, _ = s.apply(txn) // can only fail if a put names a missing lease, and callers name none
 }
 
 func (s *Store) apply(txn kvstore.Txn) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	if err := s.check(txn); err != nil {
+	s.endExpiredLeases()
+	if err := s.checkConditions(txn); err != nil {
 		return 0, err
 	}
 	s.revision++
 	for _, p := range txn.Puts {
-		s.record(kvstore.Event{Item: kvstore.Item{Key: p.Key, Value: p.Value, Revision: s.revision, Lease: p.Lease}})
+		s.recordEvent(kvstore.Event{Item: kvstore.Item{Key: p.Key, Value: p.Value, Revision: s.revision, Lease: p.Lease}})
 	}
 	for _, key := range txn.Deletes {
-		s.record(kvstore.Event{Item: kvstore.Item{Key: key, Revision: s.revision}, Deleted: true})
+		s.recordEvent(kvstore.Event{Item: kvstore.Item{Key: key, Revision: s.revision}, Deleted: true})
 	}
-	s.signal()
+	s.wakeWatches()
 	return s.revision, nil
 }
 
-func (s *Store) check(txn kvstore.Txn) error {
+func (s *Store) checkConditions(txn kvstore.Txn) error {
 	conflict := &kvstore.ConflictError{}
-	holds := true
+	met := true
 	for _, c := range txn.If {
 		item, ok := s.items[c.Key]
 		if !ok {
 			item = kvstore.Item{Key: c.Key}
 		}
 		conflict.Items = append(conflict.Items, item)
-		holds = holds && item.Revision == c.Revision
+		met = met && item.Revision == c.Revision
 	}
-	if !holds {
+	if !met {
 		return conflict
 	}
 	for _, p := range txn.Puts {
@@ -218,7 +223,7 @@
 	return nil
 }
 
-func (s *Store) record(e kvstore.Event) {
+func (s *Store) recordEvent(e kvstore.Event) {
 	s.history = append(s.history, e)
 	if e.Deleted {
 		delete(s.items, e.Key)
@@ -227,7 +232,7 @@
 	s.items[e.Key] = e.Item
 }
 
-func (s *Store) signal() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -252,7 +257,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.endExpiredLeases()
 	l := s.leases[id]
 	if l == nil {
 		return kvstore.ErrLeaseLost
@@ -271,27 +276,28 @@
 	if s.leases[id] == nil {
 		return kvstore.ErrLeaseLost
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-// expire ends the leases that ran out.
-func (s *Store) expire() {
+// endExpiredLeases ends the leases that have expired and deletes their keys. The
+// caller holds mu.
+func (s *Store) endExpiredLeases() {
 	now := s.opts.Now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id uint64) {
+func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	s.revision++
 	for key, item := range s.items {
 		if item.Lease == id {
-			s.record(kvstore.Event{Item: kvstore.Item{Key: key, Revision: s.revision}, Deleted: true})
+			s.recordEvent(kvstore.Event{Item: kvstore.Item{Key: key, Revision: s.revision}, Deleted: true})
 		}
 	}
-	s.signal()
+	s.wakeWatches()
 }
--- a/standin/worker/http.go
+++ b/standin/worker/http.go
@@ -7,45 +7,45 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// ServeHTTP answers the worker's HTTP interface.
+// ServeHTTP serves the worker's HTTP API.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.o.BeforeMessage != nil {
-		if err := s.o.BeforeMessage(r.URL.Path); err != nil {
+	if s.opts.BeforeMessage != nil {
+		if err := s.opts.BeforeMessage(r.URL.Path); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	switch r.URL.Path {
 	case workerapi.PathReserve:
-		serve(s, w, r, s.Reserve)
+		serveJSON(s, w, r, s.Reserve)
 	case workerapi.PathStart:
-		serve(s, w, r, s.Start)
+		serveJSON(s, w, r, s.Start)
 	case workerapi.PathRenew:
-		serve(s, w, r, s.Renew)
+		serveJSON(s, w, r, s.Renew)
 	case workerapi.PathRelease:
-		serve(s, w, r, s.Release)
+		serveJSON(s, w, r, s.Release)
 	case workerapi.PathCheckpoint:
-		serve(s, w, r, s.Checkpoint)
+		serveJSON(s, w, r, s.Checkpoint)
 	case workerapi.PathStop:
-		serve(s, w, r, s.Stop)
+		serveJSON(s, w, r, s.Stop)
 	case workerapi.PathTasks:
-		s.answer(w, r, s.Tasks())
+		s.writeReply(w, r, s.Tasks())
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func serve[Req, Rep any](s *Server, w http.ResponseWriter, r *http.Request, handle func(Req) Rep) {
+func serveJSON[Req, Rep any](s *Server, w http.ResponseWriter, r *http.Request, handle func(Req) Rep) {
 	var req Req
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.answer(w, r, handle(req))
+	s.writeReply(w, r, handle(req))
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, reply any) {
-	if s.o.AfterMessage != nil {
-		if err := s.o.AfterMessage(r.URL.Path); err != nil {
+func (s *Server) writeReply(w http.ResponseWriter, r *http.Request, reply any) {
+	if s.opts.AfterMessage != nil {
+		if err := s.opts.AfterMessage(r.URL.Path); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,7 @@
-// Package worker is a stand-in for the platform's workers, for tests and the
-// dev command. It holds reservations for a short time, runs tasks under leases
-// that end them when they lapse, and refuses messages under older terms.
+// Package worker is a stand-in for the platform's workers. It keeps reservations
+// until their TTL ends, runs tasks until they finish or their lease lapses, and
+// refuses messages under older terms. A Server holds its reservations and tasks
+// and the newest term. Tests, the dev command and the standin command use it.
 package worker
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// DefaultRetention is how long ended tasks are listed.
+// DefaultRetention is how long Tasks lists a task after its end.
 const DefaultRetention = 10 * time.Minute
 
 // Options configures a stand-in worker.
@@ -20,13 +21,15 @@
 	Name         string
 	Accelerators int
 	Now          func() time.Time // nil: time.Now
-	// RunTime tells how long a task runs; nil or an answer of 0: until stopped.
+	// RunTime returns how long a task runs; nil or a result of 0: until stopped.
 	RunTime func(gang workerapi.Gang, index int) time.Duration
-	// Fail tells whether a task fails as soon as it starts; nil: none does.
+	// Fail reports whether a task fails as soon as it starts; nil: none does.
 	Fail func(gang workerapi.Gang, index int) bool
-	// BeforeMessage runs before each message is handled; an error loses the message.
+	// BeforeMessage, if set, is called before each message is handled; on an
+	// error the message has no effect and the connection is closed.
 	BeforeMessage func(path string) error
-	// AfterMessage runs after each message took effect; an error loses the answer.
+	// AfterMessage, if set, is called after each message has taken effect; on
+	// an error the connection is closed without an answer.
 	AfterMessage func(path string) error
 	Retention    time.Duration // 0: DefaultRetention
 }
@@ -38,20 +41,21 @@
 
 type task struct {
 	workerapi.Task
-	expires time.Time // of the reservation or the lease
-	finish  time.Time // zero: runs until stopped
-	ended   time.Time
+	expiresAt time.Time // of the reservation or the lease
+	finishAt  time.Time // zero: runs until stopped
+	endedAt   time.Time
 }
 
-// Server is a stand-in worker. It is safe for concurrent use. Time passes only
-// by Options.Now: what lapsed is settled, in order, before each message.
+// Server is a stand-in worker. It is safe for concurrent use. It has no timers:
+// before it handles a message, it ends the tasks and reservations that finished
+// or lapsed by Options.Now.
 type Server struct {
-	mu          sync.Mutex
-	o           Options
-	incarnation int
-	term        uint64
-	tasks       map[taskKey]*task
-	stopped     map[string]uint64 // job to the newest generation told to stop
+	mu                 sync.Mutex
+	opts               Options
+	incarnation        int
+	term               uint64
+	tasks              map[taskKey]*task
+	stoppedGenerations map[string]uint64 // by job, the newest generation that was stopped
 }
 
 // New returns a worker that runs nothing.
@@ -62,28 +66,29 @@
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
 	}
-	return &Server{o: o, incarnation: 1, tasks: make(map[taskKey]*task), stopped: make(map[string]uint64)}
+	return &Server{opts: o, incarnation: 1, tasks: make(map[taskKey]*task), stoppedGenerations: make(map[string]uint64)}
 }
 
-// Restart loses every task and starts a new incarnation.
+// Restart drops all tasks and reservations and starts a new incarnation.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnation++
 	s.tasks = make(map[taskKey]*task)
-	s.stopped = make(map[string]uint64)
+	s.stoppedGenerations = make(map[string]uint64)
 }
 
-// Tasks lists what the worker holds, ordered by gang and index.
+// Tasks lists the worker's reserved, running and ended tasks, ordered by gang and
+// index.
 func (s *Server) Tasks() workerapi.TasksReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
+	s.endLapsed()
 	reply := workerapi.TasksReply{
-		Worker:       s.o.Name,
+		Worker:       s.opts.Name,
 		Incarnation:  strconv.Itoa(s.incarnation),
 		Term:         s.term,
-		Accelerators: s.o.Accelerators,
+		Accelerators: s.opts.Accelerators,
 	}
 	for _, t := range s.tasks {
 		reply.Tasks = append(reply.Tasks, t.Task)
@@ -105,44 +110,47 @@
 	})
 }
 
-// settle ends what has finished or lapsed by now. The caller holds mu.
-func (s *Server) settle() {
-	now := s.o.Now()
+// endLapsed ends tasks that have finished or whose lease has lapsed, and drops
+// lapsed reservations and tasks past their retention. The caller holds mu.
+func (s *Server) endLapsed() {
+	now := s.opts.Now()
 	for key, t := range s.tasks {
 		switch t.State {
 		case workerapi.TaskReserved:
-			if !now.Before(t.expires) {
+			if !now.Before(t.expiresAt) {
 				delete(s.tasks, key)
 			}
 		case workerapi.TaskRunning:
-			t.settle(now)
+			t.endIfLapsed(now)
 		default:
-			if now.Sub(t.ended) >= s.o.Retention {
+			if now.Sub(t.endedAt) >= s.opts.Retention {
 				delete(s.tasks, key)
 			}
 		}
 	}
 }
 
-// settle ends a running task at whichever came first, its finish or its lease's end.
-func (t *task) settle(now time.Time) {
-	finishes := !t.finish.IsZero() && !t.finish.After(t.expires)
+// endIfLapsed ends a running task at its finish or at the end of its lease,
+// whichever came first, if that is past.
+func (t *task) endIfLapsed(now time.Time) {
+	finishes := !t.finishAt.IsZero() && !t.finishAt.After(t.expiresAt)
 	switch {
-	case finishes && !now.Before(t.finish):
-		t.end(workerapi.TaskFinished, "", t.finish)
-	case !now.Before(t.expires):
-		t.end(workerapi.TaskStopped, "lease lapsed", t.expires)
+	case finishes && !now.Before(t.finishAt):
+		t.end(workerapi.TaskFinished, "", t.finishAt)
+	case !now.Before(t.expiresAt):
+		t.end(workerapi.TaskStopped, "lease lapsed", t.expiresAt)
 	}
 }
 
 func (t *task) end(state workerapi.TaskState, reason string, at time.Time) {
 	t.State = state
 	t.Reason = reason
-	t.ended = at
+	t.endedAt = at
 }
 
-// admit notes a message's term and refuses older ones. The caller holds mu.
-func (s *Server) admit(term uint64) bool {
+// acceptTerm records the term of a message. It reports false if a newer term has
+// been seen. The caller holds mu.
+func (s *Server) acceptTerm(term uint64) bool {
 	if term < s.term {
 		return false
 	}
@@ -154,11 +162,11 @@
 func (s *Server) Reserve(r workerapi.ReserveRequest) workerapi.ReserveReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
-	if !s.admit(r.Term) {
+	s.endLapsed()
+	if !s.acceptTerm(r.Term) {
 		return workerapi.ReserveReply{Code: workerapi.StaleTerm, Reason: "a newer scheduler has been heard from"}
 	}
-	if r.Gang.Generation <= s.stopped[r.Gang.Job] {
+	if r.Gang.Generation <= s.stoppedGenerations[r.Gang.Job] {
 		return workerapi.ReserveReply{Code: workerapi.Refused, Reason: "the gang was told to stop"}
 	}
 	used := 0
@@ -171,12 +179,12 @@
 			used += t.Accelerators
 		}
 	}
-	if used+len(r.Tasks)*r.AcceleratorsPerTask > s.o.Accelerators {
+	if used+len(r.Tasks)*r.AcceleratorsPerTask > s.opts.Accelerators {
 		return workerapi.ReserveReply{Code: workerapi.NoCapacity, Reason: "too few free accelerators"}
 	}
-	expires := s.o.Now().Add(r.TTL)
+	expires := s.opts.Now().Add(r.TTL)
 	for _, index := range r.Tasks {
-		s.tasks[taskKey{r.Gang, index}] = &task{expires: expires, Task: workerapi.Task{
+		s.tasks[taskKey{r.Gang, index}] = &task{expiresAt: expires, Task: workerapi.Task{
 			Gang: r.Gang, Index: index, Accelerators: r.AcceleratorsPerTask, State: workerapi.TaskReserved,
 		}}
 	}
@@ -187,8 +195,8 @@
 func (s *Server) Start(r workerapi.StartRequest) workerapi.Reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
-	if !s.admit(r.Term) {
+	s.endLapsed()
+	if !s.acceptTerm(r.Term) {
 		return workerapi.Reply{Code: workerapi.StaleTerm, Reason: "a newer scheduler has been heard from"}
 	}
 	for _, index := range r.Tasks {
@@ -197,47 +205,49 @@
 			return workerapi.Reply{Code: workerapi.NoReservation, Reason: "no reservation, or it has lapsed"}
 		}
 	}
-	now := s.o.Now()
+	now := s.opts.Now()
 	for _, index := range r.Tasks {
-		s.run(s.tasks[taskKey{r.Gang, index}], r, now)
+		s.startTask(s.tasks[taskKey{r.Gang, index}], r, now)
 	}
 	return workerapi.Reply{Code: workerapi.OK}
 }
 
-func (s *Server) run(t *task, r workerapi.StartRequest, now time.Time) {
+func (s *Server) startTask(t *task, r workerapi.StartRequest, now time.Time) {
 	if t.State == workerapi.TaskRunning {
 		return
 	}
 	t.State = workerapi.TaskRunning
 	t.GangTasks = r.Size
-	t.expires = now.Add(r.Lease)
-	if s.o.RunTime != nil {
-		t.finish = finishOf(now, s.o.RunTime(r.Gang, t.Index))
+	t.expiresAt = now.Add(r.Lease)
+	if s.opts.RunTime != nil {
+		t.finishAt = finishTime(now, s.opts.RunTime(r.Gang, t.Index))
 	}
-	if s.o.Fail != nil && s.o.Fail(r.Gang, t.Index) {
+	if s.opts.Fail != nil && s.opts.Fail(r.Gang, t.Index) {
 		t.end(workerapi.TaskFailed, "the task failed at its start", now)
 	}
 }
 
-// Renew extends the leases of the gangs that run here, none of whose tasks failed.
+// Renew extends the leases of gangs that run here. Gangs that don't run here, or
+// of which a task failed or was stopped, are reported as missing. A lease of 0
+// extends nothing and only asks which gangs run.
 func (s *Server) Renew(r workerapi.RenewRequest) workerapi.RenewReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
+	s.endLapsed()
 	var reply workerapi.RenewReply
 	for _, gang := range r.Gangs {
-		if s.renew(gang, r.Lease) {
+		if s.renewGang(gang, r.Lease) {
 			continue
 		}
 		reply.Missing = append(reply.Missing, gang)
-		reply.Ended = append(reply.Ended, s.ended(gang)...)
+		reply.Ended = append(reply.Ended, s.endedTasks(gang)...)
 	}
 	return reply
 }
 
-func (s *Server) renew(gang workerapi.Gang, lease time.Duration) bool {
+func (s *Server) renewGang(gang workerapi.Gang, lease time.Duration) bool {
 	found := false
-	expires := s.o.Now().Add(lease)
+	expires := s.opts.Now().Add(lease)
 	for key, t := range s.tasks {
 		if key.gang != gang {
 			continue
@@ -249,13 +259,13 @@
 	}
 	for key, t := range s.tasks {
 		if key.gang == gang && t.State == workerapi.TaskRunning && lease > 0 {
-			t.expires = expires
+			t.expiresAt = expires
 		}
 	}
 	return found
 }
 
-func (s *Server) ended(gang workerapi.Gang) []workerapi.Task {
+func (s *Server) endedTasks(gang workerapi.Gang) []workerapi.Task {
 	var out []workerapi.Task
 	for key, t := range s.tasks {
 		if key.gang == gang && t.State != workerapi.TaskReserved {
@@ -268,25 +278,26 @@
 
 // Release drops a gang's reservations.
 func (s *Server) Release(r workerapi.GangRequest) workerapi.Reply {
-	return s.onGang(r, func(key taskKey, t *task, _ time.Time) {
+	return s.updateGang(r, func(key taskKey, t *task, _ time.Time) {
 		if t.State == workerapi.TaskReserved {
 			delete(s.tasks, key)
 		}
 	})
 }
 
-// Checkpoint saves the work of a gang's running tasks.
+// Checkpoint sets the checkpoint time of a gang's running tasks to now.
 func (s *Server) Checkpoint(r workerapi.GangRequest) workerapi.Reply {
-	return s.onGang(r, func(_ taskKey, t *task, now time.Time) {
+	return s.updateGang(r, func(_ taskKey, t *task, now time.Time) {
 		if t.State == workerapi.TaskRunning {
 			t.Checkpointed = now
 		}
 	})
 }
 
-// Stop ends a gang's tasks and refuses the generation from then on.
+// Stop ends a gang's tasks. Later reservations for its generation or older ones
+// are refused.
 func (s *Server) Stop(r workerapi.GangRequest) workerapi.Reply {
-	reply := s.onGang(r, func(key taskKey, t *task, now time.Time) {
+	reply := s.updateGang(r, func(key taskKey, t *task, now time.Time) {
 		switch t.State {
 		case workerapi.TaskReserved:
 			delete(s.tasks, key)
@@ -299,19 +310,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopped[r.Gang.Job] = max(s.stopped[r.Gang.Job], r.Gang.Generation)
+	s.stoppedGenerations[r.Gang.Job] = max(s.stoppedGenerations[r.Gang.Job], r.Gang.Generation)
 	return reply
 }
 
-func (s *Server) onGang(r workerapi.GangRequest, act func(taskKey, *task, time.Time)) workerapi.Reply {
+func (s *Server) updateGang(r workerapi.GangRequest, act func(taskKey, *task, time.Time)) workerapi.Reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
-	if !s.admit(r.Term) {
+	s.endLapsed()
+	if !s.acceptTerm(r.Term) {
 		return workerapi.Reply{Code: workerapi.StaleTerm, Reason: "a newer scheduler has been heard from"}
 	}
 	found := false
-	now := s.o.Now()
+	now := s.opts.Now()
 	for key, t := range s.tasks {
 		if key.gang == r.Gang {
 			found = true
@@ -324,8 +335,9 @@
 	return workerapi.Reply{Code: workerapi.OK}
 }
 
-// finishOf returns when a task that starts now ends by itself; zero: never.
-func finishOf(now time.Time, run time.Duration) time.Time {
+// finishTime returns when a task that starts now finishes; zero: it runs until
+// stopped.
+func finishTime(now time.Time, run time.Duration) time.Time {
 	if run == 0 {
 		return time.Time{}
 	}
