--- a/cmd/cyclamentrayd/main.go
+++ b/cmd/cyclamentrayd/main.go
@@ -29,7 +29,7 @@
 // environment variables GOGC and GOMEMLIMIT take precedence.
 const (
 	gcPercent        = 400
-	memoryLimitBytes = 100 << 20 // bytes
+	memoryLimitBytes = 100 << 20
 )
 
 type options struct {
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -1,5 +1,8 @@
-// Package soak runs real hosts as processes against stand-ins of the platform,
-// injects faults from outside them, and checks what callers and runners see.
+// Package soak runs hosts of the batch scheduler as processes against stand-ins
+// of the platform, injects faults from outside the processes, and checks what
+// callers and runners observe. A run holds the stand-ins, the host processes and
+// the observations of its Checker. Its test and the command cyclamentray-soak
+// call Run.
 package soak
 
 import (
@@ -27,24 +30,24 @@
 )
 
 const (
-	heartbeat    = 1500 * time.Millisecond
-	silenceLimit = 3 * heartbeat // after which a runner's entry is removed
-	graceTime    = 6 * time.Second
-	rackSize     = 3
-	domains      = 2
-	accelerators = 8
-	portsEach    = 3 // for callers, readiness and peers
+	heartbeatInterval     = 1500 * time.Millisecond
+	entryTimeout          = 3 * heartbeatInterval // without heartbeats until a runner's entry is removed
+	gracePeriod           = 6 * time.Second
+	runnersPerRack        = 3
+	failureDomains        = 2
+	acceleratorsPerRunner = 8
+	portsPerHost          = 3 // one each for callers, readiness and peers
 )
 
-// deployment is the stand-ins and the hosts' processes.
+// deployment holds the stand-ins of the platform and the host processes.
 type deployment struct {
-	dir     string
-	check   *Checker
-	store   *keyspace.Store
-	storeAt string
-	runners *standin.RunnerServer
-	hosts   []*hostProcess
-	fleet   []*fleetRunner
+	dir          string
+	checker      *Checker
+	store        *keyspace.Store
+	storeAddress string
+	runnerServer *standin.RunnerServer
+	hosts        []*hostProcess
+	runners      []*proxiedRunner
 
 	mu    sync.Mutex
 	fault func(keyspace.Call) keyspace.Outcome // nil: none
@@ -52,67 +55,70 @@
 	tasks map[string]runner.Task               // by job
 }
 
-// fleetRunner is a runner behind a proxy.
-type fleetRunner struct {
-	id     string
-	domain string
-	rack   string
-	proxy  *faultproxy.Proxy
-	gone   bool // crashed; its heartbeats have stopped
-	drains bool
-	silent time.Time // since when it is gone
+// proxiedRunner is a stand-in runner that hosts reach through a proxy.
+type proxiedRunner struct {
+	id            string
+	failureDomain string
+	rack          string
+	proxy         *faultproxy.Proxy
+	down          bool // crashed or left; its heartbeats have stopped
+	draining      bool
+	downSince     time.Time // when its state last changed
 }
 
-// hostProcess is one host's process behind a proxy to the store.
+// hostProcess is one host's process. It reaches the store through a proxy.
 type hostProcess struct {
-	name     string
-	settings string
-	front    string
-	store    *faultproxy.Proxy
-	logPath  string
+	name         string
+	settingsPath string
+	apiAddress   string
+	storeProxy   *faultproxy.Proxy
+	logPath      string
 
 	mu          sync.Mutex
 	process     *exec.Cmd
 	incarnation int
-	stopping    bool // ended on purpose; it is not started again
+	stopping    bool // stopped for good; it is not restarted
 	ended       chan struct{}
 }
 
-func newDeployment(dir string, hosts, runners int, check *Checker) (*deployment, error) {
-	d := &deployment{dir: dir, check: check, specs: make(map[string]string), tasks: make(map[string]runner.Task)}
-	d.store = keyspace.New(keyspace.Options{Fault: d.faultOf, ApplyDelay: 2 * time.Second})
-	address, err := serve(standin.StoreHandler(d.store))
+func newDeployment(dir string, hosts, runners int, checker *Checker) (*deployment, error) {
+	d := &deployment{dir: dir, checker: checker, specs: make(map[string]string), tasks: make(map[string]runner.Task)}
+	d.store = keyspace.New(keyspace.Options{Fault: d.storeOutcome, ApplyDelay: 2 * time.Second})
+	address, err := serveOnLoopback(standin.StoreHandler(d.store))
 	if err != nil {
 		return nil, err
 	}
-	d.storeAt = address
-	d.runners = &standin.RunnerServer{Pool: runner.New(runner.Options{
-		GangTimeout: 3 * time.Second, DescribeTask: d.describe,
-		OnStart: func(now steady.Time, on string, task batch.TaskID, attempt int) {
-			check.RecordStart(now, on, d.domainOf(on), task, attempt, d.specOf(task.Job))
+	d.storeAddress = address
+	d.runnerServer = &standin.RunnerServer{Pool: runner.New(runner.Options{
+		GangTimeout: 3 * time.Second, DescribeTask: d.describeTask,
+		OnStart: func(now steady.Time, runnerID string, task batch.TaskID, attempt int) {
+			checker.RecordStart(now, runnerID, d.failureDomainOf(runnerID), task, attempt, d.specOf(task.Job))
 		},
-		OnEnd:         func(_ steady.Time, on string, task batch.TaskID, _ int, _ batch.EndReason) { check.RecordEnd(on, task) },
-		OnAcknowledge: func(_ steady.Time, _ string, end batch.EndedTask) { check.RecordAcknowledgement(end) },
+		OnEnd: func(_ steady.Time, runnerID string, task batch.TaskID, _ int, _ batch.EndReason) {
+			checker.RecordEnd(runnerID, task)
+		},
+		OnAcknowledge: func(_ steady.Time, _ string, end batch.EndedTask) { checker.RecordAcknowledgement(end) },
 	})}
 	for i := range runners {
 		if err := d.addRunner(i); err != nil {
 			return nil, err
 		}
 	}
-	// All at once: ports that were closed again may be given out twice.
-	ports, err := freePorts(hosts * portsEach)
+	// All ports are reserved at once, since a port that was closed again may be
+	// assigned twice.
+	ports, err := freePorts(hosts * portsPerHost)
 	if err != nil {
 		return nil, err
 	}
 	for i := range hosts {
-		if err := d.addHost(i, ports[i*portsEach:(i+1)*portsEach]); err != nil {
+		if err := d.addHost(i, ports[i*portsPerHost:(i+1)*portsPerHost]); err != nil {
 			return nil, err
 		}
 	}
 	return d, nil
 }
 
-func serve(handler http.Handler) (string, error) {
+func serveOnLoopback(handler http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -122,7 +128,7 @@
 	return l.Addr().String(), nil
 }
 
-func (d *deployment) faultOf(c keyspace.Call) keyspace.Outcome {
+func (d *deployment) storeOutcome(c keyspace.Call) keyspace.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fault == nil {
@@ -137,7 +143,7 @@
 	d.fault = f
 }
 
-func (d *deployment) describe(task batch.TaskID, _ string) runner.Task {
+func (d *deployment) describeTask(task batch.TaskID, _ string) runner.Task {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.tasks[task.Job]
@@ -155,96 +161,99 @@
 	d.specs[id], d.tasks[id] = spec, task
 }
 
-func (d *deployment) domainOf(id string) string {
-	for _, r := range d.fleet {
+func (d *deployment) failureDomainOf(id string) string {
+	for _, r := range d.runners {
 		if r.id == id {
-			return r.domain
+			return r.failureDomain
 		}
 	}
 	return ""
 }
 
 func (d *deployment) addRunner(i int) error {
-	r := &fleetRunner{id: fmt.Sprintf("i-%d", i), domain: fmt.Sprintf("fd-%d", i/rackSize%domains), rack: fmt.Sprintf("rack-%d", i/rackSize)}
-	address, err := serve(d.runners.Handler(r.id))
+	r := &proxiedRunner{id: fmt.Sprintf("i-%d", i), failureDomain: fmt.Sprintf("fd-%d", i/runnersPerRack%failureDomains), rack: fmt.Sprintf("rack-%d", i/runnersPerRack)}
+	address, err := serveOnLoopback(d.runnerServer.Handler(r.id))
 	if err != nil {
 		return err
 	}
 	if r.proxy, err = faultproxy.New(address); err != nil {
 		return err
 	}
-	d.fleet = append(d.fleet, r)
-	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Add(now, d.told(r), []float64{1.6, 1, 0.6}[i%3]) })
-	return d.beat(r)
+	d.runners = append(d.runners, r)
+	d.runnerServer.WithPool(func(now steady.Time, p *runner.Pool) { p.Add(now, d.runnerRecord(r), []float64{1.6, 1, 0.6}[i%3]) })
+	return d.writeRunnerEntry(r)
 }
 
-func (d *deployment) told(r *fleetRunner) batch.Runner {
+func (d *deployment) runnerRecord(r *proxiedRunner) batch.Runner {
 	return batch.Runner{
-		ID: r.id, Address: r.proxy.Addr(), Service: "s", FailureDomain: r.domain, Labels: []string{"a", r.rack},
-		Capacity: batch.Resources{MilliCPU: 64000, MemoryMB: 128000, Accelerators: accelerators},
-		Draining: r.drains, DrainRemaining: 3 * time.Second,
+		ID: r.id, Address: r.proxy.Addr(), Service: "s", FailureDomain: r.failureDomain, Labels: []string{"a", r.rack},
+		Capacity: batch.Resources{MilliCPU: 64000, MemoryMB: 128000, Accelerators: acceleratorsPerRunner},
+		Draining: r.draining, DrainRemaining: 3 * time.Second,
 	}
 }
 
-// beat writes a runner's entry, as the platform does for it.
-func (d *deployment) beat(r *fleetRunner) error {
-	told := d.told(r)
-	d.runners.WithPool(func(_ steady.Time, p *runner.Pool) { told.Born = p.Runner(r.id).Born })
-	entry, err := standin.EncodeRunner(told)
+// writeRunnerEntry writes a runner's entry to the store, as the platform does for
+// each heartbeat of the runner.
+func (d *deployment) writeRunnerEntry(r *proxiedRunner) error {
+	record := d.runnerRecord(r)
+	d.runnerServer.WithPool(func(_ steady.Time, p *runner.Pool) { record.Born = p.Runner(r.id).Born })
+	entry, err := standin.EncodeRunner(record)
 	if err != nil {
 		return err
 	}
-	d.put(platform.RunnerPrefix+r.id, entry)
+	d.writeKey(platform.RunnerPrefix+r.id, entry)
 	return nil
 }
 
-// put writes a key past all faults: the platform's own writes always arrive.
-func (d *deployment) put(key string, value []byte) {
+// writeKey writes a key without faults, since the platform's own writes always
+// take effect.
+func (d *deployment) writeKey(key string, value []byte) {
 	d.store.WriteWithoutFaults(kvstore.Txn{Puts: []kvstore.Put{{Key: key, Value: value}}})
 }
 
-func (d *deployment) remove(key string) {
+func (d *deployment) deleteKey(key string) {
 	d.store.WriteWithoutFaults(kvstore.Txn{Deletes: []string{key}})
 }
 
-// tend sends heartbeats and removes the entries of silent runners until ctx ends.
-func (d *deployment) tend(ctx context.Context) error {
+// maintainRunnerEntries writes the entries of live runners at each heartbeat and
+// removes those of runners that are down, until ctx ends.
+func (d *deployment) maintainRunnerEntries(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(heartbeat):
+		case <-time.After(heartbeatInterval):
 		}
-		for _, r := range d.fleet {
+		for _, r := range d.runners {
 			d.mu.Lock()
-			gone, silent := r.gone, time.Since(r.silent)
+			down, downFor := r.down, time.Since(r.downSince)
 			d.mu.Unlock()
 			switch {
-			case !gone:
-				if err := d.beat(r); err != nil {
+			case !down:
+				if err := d.writeRunnerEntry(r); err != nil {
 					return err
 				}
-			case silent > silenceLimit:
-				d.remove(platform.RunnerPrefix + r.id)
+			case downFor > entryTimeout:
+				d.deleteKey(platform.RunnerPrefix + r.id)
 			}
 		}
 	}
 }
 
 func (d *deployment) addHost(i int, ports []int) error {
-	proxy, err := faultproxy.New(d.storeAt)
+	proxy, err := faultproxy.New(d.storeAddress)
 	if err != nil {
 		return err
 	}
 	h := &hostProcess{
-		name: fmt.Sprintf("host-%d", i), store: proxy, front: fmt.Sprintf("127.0.0.1:%d", ports[0]),
-		settings: filepath.Join(d.dir, fmt.Sprintf("host-%d.yaml", i)), logPath: filepath.Join(d.dir, fmt.Sprintf("host-%d.log", i)),
+		name: fmt.Sprintf("host-%d", i), storeProxy: proxy, apiAddress: fmt.Sprintf("127.0.0.1:%d", ports[0]),
+		settingsPath: filepath.Join(d.dir, fmt.Sprintf("host-%d.yaml", i)), logPath: filepath.Join(d.dir, fmt.Sprintf("host-%d.log", i)),
 	}
 	settings := standin.HostSettings{
-		Name: h.name, FailureDomain: fmt.Sprintf("fd-%d", i%domains), APIAddress: h.front,
-		ReadinessAddress: fmt.Sprintf("127.0.0.1:%d", ports[1]), PeerPort: ports[2], StoreAddress: proxy.Addr(), HeartbeatInterval: heartbeat, GracePeriod: graceTime,
+		Name: h.name, FailureDomain: fmt.Sprintf("fd-%d", i%failureDomains), APIAddress: h.apiAddress,
+		ReadinessAddress: fmt.Sprintf("127.0.0.1:%d", ports[1]), PeerPort: ports[2], StoreAddress: proxy.Addr(), HeartbeatInterval: heartbeatInterval, GracePeriod: gracePeriod,
 	}
-	if err := os.WriteFile(h.settings, []byte(settings.YAML()), 0o600); err != nil {
+	if err := os.WriteFile(h.settingsPath, []byte(settings.YAML()), 0o600); err != nil {
 		return err
 	}
 	d.hosts = append(d.hosts, h)
@@ -264,7 +273,7 @@
 	return ports, nil
 }
 
-// start starts the host's process and restarts it whenever it ends, until stop.
+// start starts the host's process. It is restarted whenever it ends, until stop.
 func (h *hostProcess) start(binary string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -272,25 +281,25 @@
 	if err != nil {
 		return err
 	}
-	command := exec.Command(binary, "--settings", h.settings)
+	command := exec.Command(binary, "--settings", h.settingsPath)
 	command.Stdout, command.Stderr = output, output
 	if err := command.Start(); err != nil {
 		return errors.CombineErrors(err, output.Close())
 	}
 	h.process, h.ended = command, make(chan struct{})
 	h.incarnation++
-	go h.wait(binary, command, output, h.ended)
+	go h.waitAndRestart(binary, command, output, h.ended)
 	return nil
 }
 
-// restartPause lies between the end of a process and its next start.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the time between the end of a process and its restart.
+const restartDelay = 300 * time.Millisecond
 
-func (h *hostProcess) wait(binary string, command *exec.Cmd, output *os.File, ended chan struct{}) {
-	_ = command.Wait() // how it ended is in its log
+func (h *hostProcess) waitAndRestart(binary string, command *exec.Cmd, output *os.File, ended chan struct{}) {
+	_ = command.Wait() // the reason of its end is in its log
 	_ = output.Close()
 	close(ended)
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	h.mu.Lock()
 	stopping := h.stopping
 	h.mu.Unlock()
@@ -301,7 +310,7 @@
 	}
 }
 
-// signal sends a signal to the present process, by its id.
+// signal sends a signal to the current process.
 func (h *hostProcess) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -310,13 +319,13 @@
 	}
 }
 
-func (h *hostProcess) version() string {
+func (h *hostProcess) incarnationName() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return fmt.Sprintf("%s/%d", h.name, h.incarnation)
 }
 
-// stop ends the process for good.
+// stop kills the process, waits for its end and prevents its restart.
 func (h *hostProcess) stop() {
 	h.mu.Lock()
 	h.stopping = true
@@ -332,9 +341,9 @@
 func (d *deployment) close() {
 	for _, h := range d.hosts {
 		h.stop()
-		h.store.Close()
+		h.storeProxy.Close()
 	}
-	for _, r := range d.fleet {
+	for _, r := range d.runners {
 		r.proxy.Close()
 	}
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -15,29 +15,31 @@
 	"github.com/cyclamentray/cyclamentray/standin/runner"
 )
 
-// fault is one kind of trouble. inject starts it and returns what ends it.
+// fault is one kind of fault. inject starts it and returns the function that ends
+// it.
 type fault struct {
 	name   string
 	inject func(d *deployment, rng *rand.Rand) (end func())
 }
 
-func nothing() {}
+// noop is the end of faults that need no cleanup.
+func noop() {}
 
 var faults = []fault{
-	{"kill host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGKILL); return nothing })},
-	{"stop host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGTERM); return nothing })},
-	{"reload host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGHUP); return nothing })},
+	{"kill host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGKILL); return noop })},
+	{"stop host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGTERM); return noop })},
+	{"reload host", onHost(func(h *hostProcess, _ *rand.Rand) func() { h.signal(syscall.SIGHUP); return noop })},
 	{"pause host", onHost(func(h *hostProcess, _ *rand.Rand) func() {
 		h.signal(syscall.SIGSTOP)
 		return func() { h.signal(syscall.SIGCONT) }
 	})},
-	{"store link", onHost(func(h *hostProcess, rng *rand.Rand) func() { return disturb(h.store, rng) })},
-	{"runner link", onRunner(func(_ *deployment, r *fleetRunner, rng *rand.Rand) func() { return disturb(r.proxy, rng) })},
-	{"runner crash", onRunner(crash)},
-	{"runner leaves", onRunner(leave)},
-	{"runner hangs", onRunner(func(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
+	{"store link", onHost(func(h *hostProcess, rng *rand.Rand) func() { return injectLinkFault(h.storeProxy, rng) })},
+	{"runner link", onRunner(func(_ *deployment, r *proxiedRunner, rng *rand.Rand) func() { return injectLinkFault(r.proxy, rng) })},
+	{"runner crash", onRunner(crashRunner)},
+	{"runner leaves", onRunner(drainRunner)},
+	{"runner hangs", onRunner(func(d *deployment, r *proxiedRunner, _ *rand.Rand) func() {
 		set := func(on bool) {
-			d.runners.WithPool(func(_ steady.Time, p *runner.Pool) { p.Runner(r.id).Hangs = on })
+			d.runnerServer.WithPool(func(_ steady.Time, p *runner.Pool) { p.Runner(r.id).Hangs = on })
 		}
 		set(true)
 		return func() { set(false) }
@@ -58,19 +60,19 @@
 		})
 		return func() { d.setFault(nil) }
 	}},
-	{"history gone", func(d *deployment, _ *rand.Rand) func() { d.store.Compact(); return nothing }},
+	{"history gone", func(d *deployment, _ *rand.Rand) func() { d.store.Compact(); return noop }},
 	{"odd entry", func(d *deployment, rng *rand.Rand) func() {
 		key := platform.RunnerPrefix + "odd"
-		d.put(key, [][]byte{{0, 255}, []byte("{}"), []byte(`{"address":7}`)}[rng.IntN(3)])
-		return func() { d.remove(key) }
+		d.writeKey(key, [][]byte{{0, 255}, []byte("{}"), []byte(`{"address":7}`)}[rng.IntN(3)])
+		return func() { d.deleteKey(key) }
 	}},
 	{"evacuation", func(d *deployment, rng *rand.Rand) func() {
-		domain := fmt.Sprintf("fd-%d", rng.IntN(domains))
-		d.put(standin.EvacuationKey(domain), []byte("{}"))
-		d.check.RecordEvacuation(domain, true, steady.Now())
+		domain := fmt.Sprintf("fd-%d", rng.IntN(failureDomains))
+		d.writeKey(standin.EvacuationKey(domain), []byte("{}"))
+		d.checker.RecordEvacuation(domain, true, steady.Now())
 		return func() {
-			d.remove(standin.EvacuationKey(domain))
-			d.check.RecordEvacuation(domain, false, steady.Now())
+			d.deleteKey(standin.EvacuationKey(domain))
+			d.checker.RecordEvacuation(domain, false, steady.Now())
 		}
 	}},
 }
@@ -79,13 +81,14 @@
 	return func(d *deployment, rng *rand.Rand) func() { return f(d.hosts[rng.IntN(len(d.hosts))], rng) }
 }
 
-func onRunner(f func(*deployment, *fleetRunner, *rand.Rand) func()) func(*deployment, *rand.Rand) func() {
-	return func(d *deployment, rng *rand.Rand) func() { return f(d, d.fleet[rng.IntN(len(d.fleet))], rng) }
+func onRunner(f func(*deployment, *proxiedRunner, *rand.Rand) func()) func(*deployment, *rand.Rand) func() {
+	return func(d *deployment, rng *rand.Rand) func() { return f(d, d.runners[rng.IntN(len(d.runners))], rng) }
 }
 
-// disturb does one thing to a link: delays, silences one way, freezes what is
-// open, resets or refuses.
-func disturb(p *faultproxy.Proxy, rng *rand.Rand) func() {
+// injectLinkFault injects one random fault into a proxy: delays or drops the bytes
+// of one direction, freezes one direction of open connections, closes open
+// connections, or also refuses new ones. It returns the function that ends it.
+func injectLinkFault(p *faultproxy.Proxy, rng *rand.Rand) func() {
 	direction := faultproxy.Direction(rng.IntN(2))
 	switch rng.IntN(5) {
 	case 0:
@@ -106,69 +109,70 @@
 	}
 }
 
-// crash ends a runner without a word; it comes back under its id.
-func crash(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
-	d.mark(r, true, false)
-	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
-	return func() { d.boot(r) }
+// crashRunner crashes a runner; the end of the fault reboots it under its id.
+func crashRunner(d *deployment, r *proxiedRunner, _ *rand.Rand) func() {
+	d.setRunnerState(r, true, false)
+	d.runnerServer.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
+	return func() { d.rebootRunner(r) }
 }
 
-// leave has a runner say that it drains, go after its time, and come back.
-func leave(d *deployment, r *fleetRunner, _ *rand.Rand) func() {
-	d.mark(r, false, true)
-	d.check.RecordDrain(r.id, steady.Now())
-	if err := d.beat(r); err != nil {
-		return nothing // it never leaves
+// drainRunner has a runner announce that it drains. The end of the fault removes
+// the runner and reboots it.
+func drainRunner(d *deployment, r *proxiedRunner, _ *rand.Rand) func() {
+	d.setRunnerState(r, false, true)
+	d.checker.RecordDrain(r.id, steady.Now())
+	if err := d.writeRunnerEntry(r); err != nil {
+		return noop // the drain was not announced, so the runner stays
 	}
 	return func() {
-		d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
-		d.mark(r, true, false)
-		d.remove(platform.RunnerPrefix + r.id)
-		d.boot(r)
+		d.runnerServer.WithPool(func(now steady.Time, p *runner.Pool) { p.Crash(now, r.id) })
+		d.setRunnerState(r, true, false)
+		d.deleteKey(platform.RunnerPrefix + r.id)
+		d.rebootRunner(r)
 	}
 }
 
-func (d *deployment) mark(r *fleetRunner, gone, drains bool) {
+func (d *deployment) setRunnerState(r *proxiedRunner, down, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r.gone, r.drains = gone, drains
-	r.silent = time.Now()
+	r.down, r.draining = down, draining
+	r.downSince = time.Now()
 }
 
-func (d *deployment) boot(r *fleetRunner) {
-	d.runners.WithPool(func(now steady.Time, p *runner.Pool) { p.Reboot(now, r.id) })
-	d.check.RecordBoot(r.id)
-	d.mark(r, false, false)
+func (d *deployment) rebootRunner(r *proxiedRunner) {
+	d.runnerServer.WithPool(func(now steady.Time, p *runner.Pool) { p.Reboot(now, r.id) })
+	d.checker.RecordBoot(r.id)
+	d.setRunnerState(r, false, false)
 }
 
-// trouble injects faults in series that overlap, until ctx ends; then it ends
-// them all.
-func (d *deployment) trouble(ctx context.Context, rng *rand.Rand, log func(string)) {
-	type open struct {
+// injectFaults injects random faults, which may overlap, until ctx ends. Then it
+// ends all of them.
+func (d *deployment) injectFaults(ctx context.Context, rng *rand.Rand, log func(string)) {
+	type activeFault struct {
 		until time.Time
 		end   func()
 	}
-	var running []open
+	var active []activeFault
 	for ctx.Err() == nil {
 		f := faults[rng.IntN(len(faults))]
-		lasts := time.Duration(500+rng.IntN(5000)) * time.Millisecond
-		log(fmt.Sprintf("%s for %s", f.name, lasts))
-		running = append(running, open{time.Now().Add(lasts), f.inject(d, rng)})
-		next := time.Now().Add(time.Duration(200+rng.IntN(2000)) * time.Millisecond)
-		for time.Now().Before(next) && ctx.Err() == nil {
+		duration := time.Duration(500+rng.IntN(5000)) * time.Millisecond
+		log(fmt.Sprintf("%s for %s", f.name, duration))
+		active = append(active, activeFault{time.Now().Add(duration), f.inject(d, rng)})
+		nextFault := time.Now().Add(time.Duration(200+rng.IntN(2000)) * time.Millisecond)
+		for time.Now().Before(nextFault) && ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
-			kept := running[:0]
-			for _, o := range running {
+			remaining := active[:0]
+			for _, o := range active {
 				if time.Now().After(o.until) {
 					o.end()
 					continue
 				}
-				kept = append(kept, o)
+				remaining = append(remaining, o)
 			}
-			running = kept
+			active = remaining
 		}
 	}
-	for _, o := range running {
+	for _, o := range active {
 		o.end()
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,18 +20,18 @@
 	"github.com/cyclamentray/cyclamentray/standin/runner"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Binary      string // of the host's program
-	Dir         string // for settings and logs
+	Binary      string // path of the host's program
+	Dir         string // directory for the hosts' settings and logs
 	Seed        uint64
-	FaultPeriod time.Duration // with faults; calm time follows
+	FaultPeriod time.Duration // how long faults are injected and jobs submitted; time without faults follows
 	Hosts       int
 	Runners     int
-	Log         func(string) // told of each fault; nil: nobody
+	Log         func(string) // called with a line for each fault; nil: no log
 }
 
-// Report tells how a run went.
+// Report is the result of a run. Violations is empty if all checks passed.
 type Report struct {
 	Seed       uint64
 	Jobs       int
@@ -41,93 +41,95 @@
 }
 
 const (
-	bootTime    = 3 * time.Second
-	submitEvery = 250 * time.Millisecond
-	pollEvery   = 400 * time.Millisecond
-	callTimeout = 3500 * time.Millisecond
-	handInTries = 4
-	// settleTime is how long after the last fault every accepted job must be
-	// done: a takeover, a runner's lease, and the work that waits.
-	settleTime = 60 * time.Second
-	cancelOdds = 8 // one job in so many is cancelled
+	startupTime       = 3 * time.Second
+	submitInterval    = 250 * time.Millisecond
+	pollInterval      = 400 * time.Millisecond
+	callTimeout       = 3500 * time.Millisecond
+	maxSubmitAttempts = 4
+	// settleTimeout is the time after the last fault by which every accepted job
+	// must have ended. It covers a takeover, a runner's lease and the queued work.
+	settleTimeout = 60 * time.Second
+	cancelOdds    = 8 // one job in cancelOdds is cancelled
 
-	hostName        = "soak" // that callers ask for
-	organisationKey = "k"
+	hostHeader         = "soak" // Host header of requests
+	organisationAPIKey = "k"
 )
 
-// run is one soak.
-type run struct {
-	opts  Options
-	d     *deployment
-	check *Checker
-	http  *http.Client
+// soakRun is the state of one run.
+type soakRun struct {
+	opts       Options
+	deployment *deployment
+	checker    *Checker
+	http       *http.Client
 
 	mu        sync.Mutex
-	rng       *rand.Rand // for callers
+	rng       *rand.Rand // for jobs and requests
 	jobs      []string
 	cancelled map[string]bool
 	version   int
 }
 
-// Run plays one seed.
+// Run runs hosts and submits jobs under the random faults of one seed. It returns
+// once every accepted job has ended or settleTimeout is over.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Log == nil {
 		o.Log = func(string) {}
 	}
-	check := NewChecker()
-	d, err := newDeployment(o.Dir, o.Hosts, o.Runners, check)
+	checker := NewChecker()
+	d, err := newDeployment(o.Dir, o.Hosts, o.Runners, checker)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	r := &run{
-		opts: o, d: d, check: check, cancelled: make(map[string]bool),
+	r := &soakRun{
+		opts: o, deployment: d, checker: checker, cancelled: make(map[string]bool),
 		http: &http.Client{Timeout: callTimeout}, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 	}
 	defer r.http.CloseIdleConnections()
-	r.configure()
+	r.writeConfiguration()
 	for _, h := range d.hosts {
 		if err := h.start(o.Binary); err != nil {
 			return nil, err
 		}
 	}
-	return r.play(ctx)
+	return r.execute(ctx)
 }
 
-func (r *run) play(ctx context.Context) (*Report, error) {
-	tending, stopTending := context.WithCancel(ctx)
-	defer stopTending()
+func (r *soakRun) execute(ctx context.Context) (*Report, error) {
+	entriesCtx, stopEntries := context.WithCancel(ctx)
+	defer stopEntries()
 	var background errgroup.Group
-	background.Go(func() error { return r.d.tend(tending) })
-	time.Sleep(bootTime)
-	traffic, stopTraffic := context.WithTimeout(ctx, r.opts.FaultPeriod)
+	background.Go(func() error { return r.deployment.maintainRunnerEntries(entriesCtx) })
+	time.Sleep(startupTime)
+	trafficCtx, stopTraffic := context.WithTimeout(ctx, r.opts.FaultPeriod)
 	defer stopTraffic()
 	var callers sync.WaitGroup
-	callers.Go(func() { r.d.trouble(traffic, rand.New(rand.NewPCG(r.opts.Seed, 2)), r.opts.Log) })
-	callers.Go(func() { r.every(traffic, submitEvery, func() { callers.Go(func() { r.submit(ctx) }) }) })
-	callers.Go(func() { r.every(traffic, pollEvery, r.poll) })
-	callers.Go(func() { r.every(traffic, 3*time.Second, r.configure) })
-	<-traffic.Done()
+	callers.Go(func() { r.deployment.injectFaults(trafficCtx, rand.New(rand.NewPCG(r.opts.Seed, 2)), r.opts.Log) })
+	callers.Go(func() { r.runEvery(trafficCtx, submitInterval, func() { callers.Go(func() { r.submit(ctx) }) }) })
+	callers.Go(func() { r.runEvery(trafficCtx, pollInterval, r.poll) })
+	callers.Go(func() { r.runEvery(trafficCtx, 3*time.Second, r.writeConfiguration) })
+	<-trafficCtx.Done()
 	callers.Wait()
-	r.settle(ctx)
-	stopTending()
+	r.checkAfterFaults(ctx)
+	stopEntries()
 	err := background.Wait()
 	return r.report(), err
 }
 
-func (r *run) every(ctx context.Context, pause time.Duration, f func()) {
+func (r *soakRun) runEvery(ctx context.Context, interval time.Duration, f func()) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 			f()
 		}
 	}
 }
 
-// configure adds a queue, by which callers see which version a host has.
-func (r *run) configure() {
+// writeConfiguration writes a new version of the configuration with one more
+// queue, by which poll sees whether a host has that version.
+func (r *soakRun) writeConfiguration() {
 	r.mu.Lock()
 	r.version++
 	version := r.version
@@ -135,11 +137,11 @@
 	config := batch.Configuration{
 		Version:       int64(version),
 		Services:      []batch.Service{{Name: "s"}},
-		Organisations: []batch.Organisation{{Name: "one", Keys: []string{organisationKey}, Guaranteed: batch.Resources{Accelerators: accelerators}}},
+		Organisations: []batch.Organisation{{Name: "one", Keys: []string{organisationAPIKey}, Guaranteed: batch.Resources{Accelerators: acceleratorsPerRunner}}},
 	}
 	for v := range version + 1 {
 		config.Queues = append(config.Queues, batch.Queue{
-			Name: fmt.Sprintf("q%d", v), Host: hostName, Prefix: fmt.Sprintf("/q%d/", v), Service: "s", Priority: v % 2,
+			Name: fmt.Sprintf("q%d", v), Host: hostHeader, Prefix: fmt.Sprintf("/q%d/", v), Service: "s", Priority: v % 2,
 			MaxAttempts: 9, Stretch: 3, TargetLatency: time.Second,
 		})
 	}
@@ -148,17 +150,17 @@
 		r.opts.Log("configuration not written: " + err.Error())
 		return
 	}
-	r.d.put(standin.ConfigurationKey, text)
+	r.deployment.writeKey(standin.ConfigurationKey, text)
 }
 
-func (r *run) submit(ctx context.Context) {
+func (r *soakRun) submit(ctx context.Context) {
 	id, body, task, cancel := r.newJob()
-	r.check.RecordSubmission(id, body)
-	r.d.setJob(id, body, task)
+	r.checker.RecordSubmission(id, body)
+	r.deployment.setJob(id, body, task)
 	accepted := false
-	for range handInTries {
-		status, _ := r.call(ctx, "POST", r.host(), "/q0/"+id, r.jobBody(body, task))
-		r.check.RecordSubmissionAnswer(id, status, steady.Now())
+	for range maxSubmitAttempts {
+		status, _ := r.call(ctx, "POST", r.randomHost(), "/q0/"+id, r.jobBody(body, task))
+		r.checker.RecordSubmissionAnswer(id, status, steady.Now())
 		if status == http.StatusOK {
 			accepted = true
 			break
@@ -176,16 +178,16 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	r.mu.Lock()
-	r.cancelled[id] = true // whatever the answer: it may be stored
+	r.cancelled[id] = true // before the answer: the cancellation may be stored even if it is lost
 	r.mu.Unlock()
-	for range handInTries {
-		if status, _ := r.call(ctx, "DELETE", r.host(), "/q0/"+id, ""); status == http.StatusOK {
+	for range maxSubmitAttempts {
+		if status, _ := r.call(ctx, "DELETE", r.randomHost(), "/q0/"+id, ""); status == http.StatusOK {
 			return
 		}
 	}
 }
 
-func (r *run) newJob() (id, spec string, task runner.Task, cancel bool) {
+func (r *soakRun) newJob() (id, spec string, task runner.Task, cancel bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id = fmt.Sprintf("%016x", r.rng.Uint64())
@@ -199,7 +201,7 @@
 	return id, "spec " + id, task, r.rng.IntN(cancelOdds) == 0
 }
 
-func (r *run) jobBody(spec string, task runner.Task) string {
+func (r *soakRun) jobBody(spec string, task runner.Task) string {
 	text, err := standin.EncodeJob(spec, batch.Step{
 		Tasks: task.GangSize, Request: task.Request, Estimate: task.Work, Gang: task.GangSize > 1, Checkpoints: task.Checkpoint > 0,
 	})
@@ -209,20 +211,20 @@
 	return string(text)
 }
 
-func (r *run) host() *hostProcess {
+func (r *soakRun) randomHost() *hostProcess {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.d.hosts[r.rng.IntN(len(r.d.hosts))]
+	return r.deployment.hosts[r.rng.IntN(len(r.deployment.hosts))]
 }
 
-// call makes one request; status 0 means that no whole answer came.
-func (r *run) call(ctx context.Context, method string, h *hostProcess, path, body string) (int, string) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+h.front+path, strings.NewReader(body))
+// call makes one request; status 0 means that no complete answer was received.
+func (r *soakRun) call(ctx context.Context, method string, h *hostProcess, path, body string) (int, string) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+h.apiAddress+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
 	}
-	req.Host = hostName
-	req.Header.Set(standin.APIKeyHeader, organisationKey)
+	req.Host = hostHeader
+	req.Header.Set(standin.APIKeyHeader, organisationAPIKey)
 	resp, err := r.http.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -235,9 +237,10 @@
 	return resp.StatusCode, string(text)
 }
 
-// poll asks a host for a job, and whether it has a configuration.
-func (r *run) poll() {
-	h := r.host()
+// poll asks a random host for the state of a job and whether it has a version of
+// the configuration, and records the answers.
+func (r *soakRun) poll() {
+	h := r.randomHost()
 	r.mu.Lock()
 	id := ""
 	if len(r.jobs) > 0 {
@@ -248,43 +251,44 @@
 	if id != "" {
 		asked := steady.Now()
 		status, _ := r.call(context.Background(), "GET", h, "/q0/"+id, "")
-		r.check.RecordStateAnswer(id, status, asked)
+		r.checker.CheckStateAnswer(id, status, asked)
 	}
-	incarnation := h.version()
+	incarnation := h.incarnationName()
 	status, _ := r.call(context.Background(), "GET", h, fmt.Sprintf("/q%d/", version), "")
-	if incarnation == h.version() && (status == http.StatusOK || status == http.StatusNotFound) {
-		r.check.RecordConfiguration(incarnation, version, status == http.StatusOK)
+	if incarnation == h.incarnationName() && (status == http.StatusOK || status == http.StatusNotFound) {
+		r.checker.RecordConfiguration(incarnation, version, status == http.StatusOK)
 	}
 }
 
-// settle waits until every accepted job has ended, and checks what became of it.
-func (r *run) settle(ctx context.Context) {
+// checkAfterFaults waits until every accepted job has ended, for settleTimeout at
+// most, and runs the checks that need all faults to be over.
+func (r *soakRun) checkAfterFaults(ctx context.Context) {
 	states := make(map[string]string)
-	for limit := time.Now().Add(settleTime); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(pollEvery) {
-		open := 0
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval) {
+		unfinished := 0
 		for _, id := range r.jobs {
 			if state := states[id]; batch.State(state).Final() {
 				continue
 			}
-			states[id] = r.state(ctx, id)
+			states[id] = r.jobState(ctx, id)
 			if !batch.State(states[id]).Final() {
-				open++
+				unfinished++
 			}
 		}
-		if open == 0 {
+		if unfinished == 0 {
 			break
 		}
 	}
-	time.Sleep(2 * time.Second) // stops that are on their way
+	time.Sleep(2 * time.Second) // for stop orders in flight
 	for _, id := range r.jobs {
-		r.check.CheckFinalState(id, states[id], r.cancelled[id])
+		r.checker.CheckFinalState(id, states[id], r.cancelled[id])
 	}
-	r.check.CheckCancelledJobs(r.cancelled)
-	r.check.CheckRefusedJobs()
+	r.checker.CheckCancelledJobs(r.cancelled)
+	r.checker.CheckRefusedJobs()
 }
 
-func (r *run) state(ctx context.Context, id string) string {
-	status, text := r.call(ctx, "GET", r.host(), "/q0/"+id, "")
+func (r *soakRun) jobState(ctx context.Context, id string) string {
+	status, text := r.call(ctx, "GET", r.randomHost(), "/q0/"+id, "")
 	var body struct{ State string }
 	if status != http.StatusOK || json.Unmarshal([]byte(text), &body) != nil {
 		return fmt.Sprintf("unknown (%d)", status)
@@ -292,13 +296,13 @@
 	return body.State
 }
 
-func (r *run) report() *Report {
-	r.check.mu.Lock()
-	starts := r.check.starts
-	jobs := len(r.check.jobs)
-	r.check.mu.Unlock()
-	return &Report{Seed: r.opts.Seed, Jobs: jobs, Accepted: len(r.jobs), Starts: starts, Violations: r.check.Violations()}
+func (r *soakRun) report() *Report {
+	r.checker.mu.Lock()
+	starts := r.checker.starts
+	jobs := len(r.checker.jobs)
+	r.checker.mu.Unlock()
+	return &Report{Seed: r.opts.Seed, Jobs: jobs, Accepted: len(r.jobs), Starts: starts, Violations: r.checker.Violations()}
 }
 
-// TempDir returns a new folder for one run's settings and logs.
+// TempDir creates a directory for the settings and logs of one run.
 func TempDir() (string, error) { return os.MkdirTemp("", "cyclamentray-soak-") }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,17 +14,18 @@
 	"github.com/cyclamentray/cyclamentray/soak"
 )
 
-// seeds are played in CI: a short one, and each seed that ever failed, with its
-// cause.
+// seeds are run in CI: 11 as a short run, and each seed that ever failed, with
+// the cause that it guards against.
 var seeds = []uint64{
 	11,
-	106, 118, // the check of refusals did not wait for a try on its way, which was accepted
-	300, // the hosts' program was replaced during the run by one that wants another setting
-	900, // with 120 hosts, ports were given out twice: another host's answer counted as an acceptance
+	106, 118, // the check of refused jobs did not wait for a submission in flight, which was accepted
+	300, // the hosts' binary was replaced during the run by one that needs another setting
+	900, // with 120 hosts, ports were assigned twice: another host's answer counted as an acceptance
 }
 
-// Hosts as processes go through a short series of faults.
-func TestShortSoak(t *testing.T) {
+// Runs host processes under random faults for 12 s per seed. No check of what
+// callers and runners observe may fail.
+func TestHostsKeepGuaranteesUnderRandomFaults(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "batchd")
 	out, err := exec.Command("go", "build", "-o", binary, "../cmd/cyclamentray-batchd").CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
@@ -39,8 +40,9 @@
 	}
 }
 
-// Each check fails when what it guards against is planted, and only then.
-func TestChecksFindPlantedFaults(t *testing.T) {
+// Each check reports the violation that it guards against, and nothing for a
+// similar sequence of events that is allowed.
+func TestCheckerReportsOnlyViolations(t *testing.T) {
 	task := batch.TaskID{Job: "j"}
 	second := func(n int) steady.Time { return steady.Time(time.Duration(1000+n) * time.Second) }
 	accept := func(c *soak.Checker) {
@@ -50,7 +52,7 @@
 	start := func(c *soak.Checker, at int, attempt int) {
 		c.RecordStart(second(at), "i-1", "fd", task, attempt, "spec")
 	}
-	for name, plant := range map[string]struct{ fault, fine func(*soak.Checker) }{
+	for name, sequence := range map[string]struct{ violating, allowed func(*soak.Checker) }{
 		"two runs at once": {
 			func(c *soak.Checker) { start(c, 1, 1); c.RecordStart(second(2), "i-2", "fd", task, 2, "spec") },
 			func(c *soak.Checker) { start(c, 1, 1); c.RecordEnd("i-1", task); start(c, 2, 2) },
@@ -81,11 +83,11 @@
 			func(c *soak.Checker) { c.RecordDrain("i-1", second(0)); start(c, 20, 1) },
 			func(c *soak.Checker) { c.RecordDrain("i-1", second(0)); c.RecordBoot("i-1"); start(c, 20, 1) },
 		},
-		"start nobody asked for": {
+		"start of a job never submitted": {
 			func(c *soak.Checker) { c.RecordStart(second(1), "i-1", "fd", batch.TaskID{Job: "other"}, 1, "spec") },
 			func(c *soak.Checker) { start(c, 1, 1) },
 		},
-		"another spec": {
+		"start with another spec": {
 			func(c *soak.Checker) { c.RecordStart(second(1), "i-1", "fd", task, 1, "changed") },
 			func(c *soak.Checker) { start(c, 1, 1) },
 		},
@@ -106,8 +108,8 @@
 			},
 		},
 		"accepted and unknown": {
-			func(c *soak.Checker) { c.RecordStateAnswer("j", 410, second(5)) },
-			func(c *soak.Checker) { c.RecordStateAnswer("j", 410, second(1)) },
+			func(c *soak.Checker) { c.CheckStateAnswer("j", 410, second(5)) },
+			func(c *soak.Checker) { c.CheckStateAnswer("j", 410, second(1)) },
 		},
 		"configuration reverts": {
 			func(c *soak.Checker) { c.RecordConfiguration("h/1", 4, true); c.RecordConfiguration("h/1", 3, false) },
@@ -127,7 +129,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for i, f := range []func(*soak.Checker){plant.fault, plant.fine} {
+			for i, f := range []func(*soak.Checker){sequence.violating, sequence.allowed} {
 				c := soak.NewChecker()
 				accept(c)
 				f(c)
