--- a/batch/dispatch/speeds.go
+++ b/batch/dispatch/speeds.go
@@ -30,7 +30,7 @@
 	}
 	speeds, err := ledger.DecodeSpeeds(item.Value)
 	if err != nil {
-		l.Log.Error("learned speeds can't be decoded; learning them again", "revision", item.Revision, "err", err)
+		l.Log.Error("learned speeds are unreadable and are learned anew", "revision", item.Revision, "err", err)
 	}
 	return speeds, nil
 }
