--- a/entryhost/components.go
+++ b/entryhost/components.go
@@ -197,7 +197,7 @@
 		Config:          c.config,
 		Membership:      c.membership,
 		Election:        c.election,
-		HoldReason:      c.scheduler.WaitReason,
+		WaitReason:      c.scheduler.WaitReason,
 		SelectStartable: c.scheduler.StartableJobs,
 		HasScheduler:    c.hasScheduler,
 		Peers:           c.peers,
--- a/intake/http.go
+++ b/intake/http.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxSpecBytes    = 64 << 10     // of the body of a submission
-	holdCallTimeout = time.Second  // per entry host that is asked why a job waits
-	methodHold      = "Gangs.Hold" // of package gang; replies with the fields of holdReply
+	maxSpecBytes      = 64 << 10     // of the body of a submission
+	waitReasonTimeout = time.Second  // per entry host that is asked why a job waits
+	methodHold        = "Gangs.Hold" // of package gang; replies with the fields of holdReply
 )
 
 // Register adds the job calls to mux. The context of each request must hold the
@@ -140,10 +140,10 @@
 	if snap.FailureDomains[domain].Out {
 		return "failure domain " + domain + " is out of service; the job is moved to another one or waits until this one is back in service"
 	}
-	if reason, ok := in.o.HoldReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
+	if reason, ok := in.o.WaitReason(rec.Spec.ID); ok && domain == in.o.FailureDomain {
 		return reason
 	}
-	if reason, ok := in.askHoldReason(ctx, domain, rec.Spec.ID); ok {
+	if reason, ok := in.askWaitReason(ctx, domain, rec.Spec.ID); ok {
 		return reason
 	}
 	if rec.Reason != "" {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -39,8 +39,8 @@
 	Config        config.Source
 	Membership    membership.Source
 	Election      election.Holder
-	// HoldReason returns why a queued job of this failure domain waits; nil: unknown.
-	HoldReason func(job.ID) (reason string, ok bool)
+	// WaitReason returns why a queued job of this failure domain waits; nil: unknown.
+	WaitReason func(job.ID) (reason string, ok bool)
 	// HasScheduler reports whether a failure domain has a scheduler; nil: all have.
 	HasScheduler func(failureDomain string) bool
 	// SelectStartable returns which queued jobs of other failure domains this one
@@ -54,8 +54,8 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.HoldReason == nil {
-		o.HoldReason = func(job.ID) (string, bool) { return "", false }
+	if o.WaitReason == nil {
+		o.WaitReason = func(job.ID) (string, bool) { return "", false }
 	}
 	if o.HasScheduler == nil {
 		o.HasScheduler = func(string) bool { return true }
--- a/intake/peers.go
+++ b/intake/peers.go
@@ -12,9 +12,9 @@
 	Known  bool
 }
 
-// askHoldReason asks the entry hosts of a failure domain why a job waits. Only the
+// askWaitReason asks the entry hosts of a failure domain why a job waits. Only the
 // host that runs the scheduler can answer.
-func (in *Intake) askHoldReason(ctx context.Context, domain string, id job.ID) (string, bool) {
+func (in *Intake) askWaitReason(ctx context.Context, domain string, id job.ID) (string, bool) {
 	if in.o.Peers == nil {
 		return "", false
 	}
@@ -22,7 +22,7 @@
 		if h.FailureDomain != domain {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, holdCallTimeout)
+		ctx, cancel := context.WithTimeout(ctx, waitReasonTimeout)
 		var reply holdReply
 		err := in.o.Peers.Call(ctx, h.PeerAddress, methodHold, id, &reply)
 		cancel()
