--- a/internal/countedconn/countedconn.go
+++ b/internal/countedconn/countedconn.go
@@ -1,5 +1,6 @@
 // Package countedconn counts the bytes sent and received on network connections.
-// The packages kvstore and peer use it for their byte metrics.
+// The packages kvstore and peer use it for their byte metrics. The counters belong to
+// the metrics set that the caller passes in; the package holds no other state.
 package countedconn
 
 import (
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,6 @@
 // Package pause waits for a duration or until a context ends, once or with
-// exponential backoff. Loops that retry or poll call it.
+// exponential backoff. Loops that retry or poll call it. Its only state is the next
+// wait of each Backoff.
 package pause
 
 import (
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,6 +1,6 @@
 // Package steady reads a monotonic clock that includes the time while the machine
 // is suspended. Leases held on other machines expire during that time too. The
-// packages of batch and platform call it. It holds no state.
+// packages under batch and the stand-ins for the platform call it. It holds no state.
 package steady
 
 import (
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer provides the net/rpc client and server for calls between entry hosts.
-// Every call has a deadline and a trace context, and both are sent to the serving
-// side. A Pool keeps one connection per peer; a Server keeps its listeners and open
-// connections. The entry host creates one of each for the packages that call or serve
-// peers.
+// Package peer provides the net/rpc client and server for calls between entry hosts
+// and between the hosts of the batch scheduler. Every call has a deadline and a trace
+// context, and both are sent to the serving side. A Pool keeps one connection per
+// peer; a Server keeps its listeners and open connections. Each host creates one of
+// each for the packages that call or serve peers.
 package peer
 
 import (
