--- a/dev/dev.go
+++ b/dev/dev.go
@@ -31,20 +31,20 @@
 
 // Size says what a dev deployment consists of, per failure domain.
 type Size struct {
-	EntryHosts     int
-	Racks          int
-	WorkersPerRack int
-	Accelerators   int // of each worker
-	Upstreams      int // of each service
-	TaskRun        time.Duration
-	RequestWork    time.Duration
+	EntryHosts            int
+	Racks                 int
+	WorkersPerRack        int
+	AcceleratorsPerWorker int // of each worker
+	UpstreamsPerService   int // of each service
+	TaskRunTime           time.Duration
+	RequestRunTime        time.Duration
 }
 
 // DefaultSize is large enough for the shipped examples.
 func DefaultSize() Size {
 	return Size{
-		EntryHosts: 2, Racks: 4, WorkersPerRack: 6, Accelerators: 8, Upstreams: 2,
-		TaskRun: 1500 * time.Millisecond, RequestWork: 5 * time.Millisecond,
+		EntryHosts: 2, Racks: 4, WorkersPerRack: 6, AcceleratorsPerWorker: 8, UpstreamsPerService: 2,
+		TaskRunTime: 1500 * time.Millisecond, RequestRunTime: 5 * time.Millisecond,
 	}
 }
 
@@ -53,7 +53,7 @@
 	FailureDomains []string
 	Services       []string // services for which upstreams run
 	Size           Size
-	Logs           io.Writer // of the entry hosts
+	LogOutput      io.Writer // of the entry hosts
 	LogLevel       log.Level
 }
 
@@ -125,7 +125,7 @@
 				Kind:          kvstore.Worker,
 				FailureDomain: fd,
 				Rack:          fmt.Sprintf("%s-r%d", fd, r),
-				Accelerators:  d.opts.Size.Accelerators,
+				Accelerators:  d.opts.Size.AcceleratorsPerWorker,
 			}
 			server := worker.New(worker.Options{Name: host.Name, Accelerators: host.Accelerators, RunTime: d.runTime})
 			address, err := d.serve(server)
@@ -145,12 +145,12 @@
 	if strings.HasPrefix(name, longPrefix) {
 		return 0
 	}
-	return d.opts.Size.TaskRun
+	return d.opts.Size.TaskRunTime
 }
 
 func (d *Deployment) startUpstreams(fd string) error {
 	for _, service := range d.opts.Services {
-		for u := range d.opts.Size.Upstreams {
+		for u := range d.opts.Size.UpstreamsPerService {
 			host := kvstore.Host{
 				Name:          fmt.Sprintf("%s-%s-u%d", fd, service, u),
 				Kind:          kvstore.Upstream,
@@ -159,7 +159,7 @@
 				Slots:         8,
 				Connections:   60,
 			}
-			server := upstream.New(upstream.Options{Name: host.Name, Slots: host.Slots, Work: d.opts.Size.RequestWork})
+			server := upstream.New(upstream.Options{Name: host.Name, Slots: host.Slots, Work: d.opts.Size.RequestRunTime})
 			address, err := d.serve(server)
 			if err != nil {
 				return err
@@ -197,7 +197,7 @@
 	if err != nil {
 		return nil, err
 	}
-	logger := log.NewWithOptions(d.opts.Logs, log.Options{Level: d.opts.LogLevel}).With("host", name)
+	logger := log.NewWithOptions(d.opts.LogOutput, log.Options{Level: d.opts.LogLevel}).With("host", name)
 	return entryhost.New(entryhost.Options{Settings: s, HTTP: callers, Peer: peers, Logger: logger})
 }
 
@@ -212,8 +212,8 @@
 	return settings.Parse("dev", []byte(text))
 }
 
-// Addresses returns the URLs of the entry hosts.
-func (d *Deployment) Addresses() []string {
+// EntryHostURLs returns the URLs of the entry hosts.
+func (d *Deployment) EntryHostURLs() []string {
 	urls := make([]string, 0, len(d.entries))
 	for _, e := range d.entries {
 		urls = append(urls, "http://"+e.Address())
@@ -221,8 +221,8 @@
 	return urls
 }
 
-// Platform returns the URL of the platform's stand-in.
-func (d *Deployment) Platform() string { return d.platform }
+// PlatformURL returns the URL of the platform's stand-in.
+func (d *Deployment) PlatformURL() string { return d.platform }
 
 // Close drains the entry hosts and ends the stand-ins.
 func (d *Deployment) Close() error {
--- a/dev/scenario.go
+++ b/dev/scenario.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return 0, err
 	}
-	operator := client.New(d.Addresses()[0], OperatorToken)
+	operator := client.New(d.EntryHostURLs()[0], OperatorToken)
 	reply, err := operator.Apply(ctx, req)
 	if err != nil {
 		return 0, err
@@ -141,7 +141,7 @@
 // With a recorder, which must receive the process's spans, it prints the trace
 // of the filing.
 func (d *Deployment) Scenario(ctx context.Context, out io.Writer, rec *telemetry.Recorder) error {
-	urls := d.Addresses()
+	urls := d.EntryHostURLs()
 	s := &scenario{
 		d:        d,
 		out:      out,
@@ -183,7 +183,7 @@
 
 // file sends one filing to every entry host under one idempotency key.
 func (s *scenario) file(ctx context.Context) error {
-	for _, url := range s.d.Addresses() {
+	for _, url := range s.d.EntryHostURLs() {
 		if err := s.fileAt(ctx, url); err != nil {
 			return err
 		}
--- a/dev/session_test.go
+++ b/dev/session_test.go
@@ -53,14 +53,14 @@
 		FailureDomains: dev.FailureDomains(),
 		Services:       dev.Services(),
 		Size:           dev.DefaultSize(),
-		Logs:           io.Discard,
+		LogOutput:      io.Discard,
 		LogLevel:       log.ErrorLevel,
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, d.Close()) })
 	_, err = d.Apply(context.Background())
 	must.NoError(t, err)
-	return &session{t: t, address: "--address=" + d.Addresses()[0]}
+	return &session{t: t, address: "--address=" + d.EntryHostURLs()[0]}
 }
 
 // command runs a command line without recording it.
--- a/entryhost/badinput_test.go
+++ b/entryhost/badinput_test.go
@@ -30,13 +30,13 @@
 	size.EntryHosts = 1
 	d, err := dev.Start(t.Context(), dev.Options{
 		FailureDomains: dev.FailureDomains(), Services: dev.Services(), Size: size,
-		Logs: io.Discard, LogLevel: log.ErrorLevel,
+		LogOutput: io.Discard, LogLevel: log.ErrorLevel,
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, d.Close()) })
 	_, err = d.Apply(t.Context())
 	must.NoError(t, err)
-	return d.Addresses()[0]
+	return d.EntryHostURLs()[0]
 }
 
 // send makes a request and returns the status and body of the response.
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -35,7 +35,7 @@
 		FailureDomains: dev.FailureDomains(),
 		Services:       dev.Services(),
 		Size:           dev.DefaultSize(),
-		Logs:           os.Stderr,
+		LogOutput:      os.Stderr,
 		LogLevel:       level,
 	})
 	if err != nil {
@@ -64,8 +64,8 @@
 	if _, err := d.Apply(c.app.ctx); err != nil {
 		return err
 	}
-	fmt.Fprintln(c.app.out, "platform stand-in:", d.Platform())
-	for _, url := range d.Addresses() {
+	fmt.Fprintln(c.app.out, "platform stand-in:", d.PlatformURL())
+	for _, url := range d.EntryHostURLs() {
 		fmt.Fprintln(c.app.out, "entry host:", url)
 	}
 	fmt.Fprintln(c.app.out, "operator's token:", dev.OperatorToken)
