--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,6 +1,8 @@
-// Package dev boots a whole deployment in one process on loopback: entry hosts
-// of two failure domains, and stand-ins for the platform, workers and
-// upstreams. It is the embedded default for trying things out.
+// Package dev runs a whole deployment in one process on loopback: entry hosts,
+// and stand-ins for the platform, the workers and the upstreams. A Deployment
+// holds them until it is closed; all state is in memory. The command line's dev
+// command, with the two failure domains of FailureDomains, is the default way to
+// try the system; tests start deployments too.
 package dev
 
 import (
@@ -26,10 +28,11 @@
 	"github.com/cyclamentray/cyclamentray/workerapi"
 )
 
-// OperatorToken is the operator's token of a dev deployment.
+// OperatorToken is the token of the operator of a dev deployment.
 const OperatorToken = "dev-operator"
 
-// Size says what a dev deployment consists of, per failure domain.
+// Size holds the numbers of hosts in each failure domain of a deployment, and
+// the run times of tasks and requests.
 type Size struct {
 	EntryHosts            int
 	Racks                 int
@@ -40,7 +43,7 @@
 	RequestRunTime        time.Duration
 }
 
-// DefaultSize is large enough for the shipped examples.
+// DefaultSize returns a size that is large enough for the example documents.
 func DefaultSize() Size {
 	return Size{
 		EntryHosts: 2, Racks: 4, WorkersPerRack: 6, AcceleratorsPerWorker: 8, UpstreamsPerService: 2,
@@ -53,24 +56,24 @@
 	FailureDomains []string
 	Services       []string // services for which upstreams run
 	Size           Size
-	LogOutput      io.Writer // of the entry hosts
+	LogOutput      io.Writer // receives the logs of the entry hosts
 	LogLevel       log.Level
 }
 
-// Deployment is a running set of entry hosts and stand-ins. Close ends it.
+// Deployment is a running set of entry hosts and stand-ins.
 type Deployment struct {
-	opts      Options
-	store     *kv.Server
-	platform  string // base URL
-	hosts     []kvstore.Host
-	entries   []*entryhost.Host
-	upstreams []*upstream.Upstream
-	servers   []*http.Server
-	group     errgroup.Group
-	cancel    context.CancelFunc
-}
-
-// Start boots a deployment. The caller closes it.
+	opts        Options
+	store       *kv.Server
+	platformURL string // base URL of store
+	hosts       []kvstore.Host
+	entryHosts  []*entryhost.Host
+	upstreams   []*upstream.Upstream
+	servers     []*http.Server
+	group       errgroup.Group
+	cancel      context.CancelFunc
+}
+
+// Start starts a deployment. The caller must close it.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	d := &Deployment{opts: o, store: kv.New()}
 	ctx, d.cancel = context.WithCancel(ctx)
@@ -86,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	d.platform = "http://" + address
+	d.platformURL = "http://" + address
 	for _, fd := range d.opts.FailureDomains {
 		if err := d.startWorkers(fd); err != nil {
 			return err
@@ -94,18 +97,18 @@
 		if err := d.startUpstreams(fd); err != nil {
 			return err
 		}
-		if err := d.buildEntries(fd); err != nil {
+		if err := d.addEntryHosts(fd); err != nil {
 			return err
 		}
 	}
 	d.store.SetHosts(d.hosts)
-	for _, e := range d.entries {
+	for _, e := range d.entryHosts {
 		d.group.Go(func() error { return e.Run(ctx) })
 	}
 	return nil
 }
 
-// serve answers HTTP on a fresh loopback port and returns its IP:port.
+// serve starts an HTTP server on a free loopback port and returns its IP:port.
 func (d *Deployment) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,10 +142,10 @@
 	return nil
 }
 
-// runTime returns how long a task runs; 0: until it is stopped.
+// runTime returns the run time of a task; 0: until it is stopped.
 func (d *Deployment) runTime(g workerapi.Gang, _ int) time.Duration {
 	name := g.Job[strings.LastIndex(g.Job, "/")+1:]
-	if strings.HasPrefix(name, longPrefix) {
+	if strings.HasPrefix(name, untilStoppedPrefix) {
 		return 0
 	}
 	return d.opts.Size.TaskRunTime
@@ -172,59 +175,59 @@
 	return nil
 }
 
-func (d *Deployment) buildEntries(fd string) error {
+func (d *Deployment) addEntryHosts(fd string) error {
 	for e := range d.opts.Size.EntryHosts {
-		host, err := d.buildEntry(fmt.Sprintf("%s-e%d", fd, e), fd)
+		host, err := d.newEntryHost(fmt.Sprintf("%s-e%d", fd, e), fd)
 		if err != nil {
 			return err
 		}
-		d.entries = append(d.entries, host)
+		d.entryHosts = append(d.entryHosts, host)
 		d.hosts = append(d.hosts, host.Self())
 	}
 	return nil
 }
 
-func (d *Deployment) buildEntry(name, fd string) (*entryhost.Host, error) {
-	callers, err := net.Listen("tcp", "127.0.0.1:0")
+func (d *Deployment) newEntryHost(name, fd string) (*entryhost.Host, error) {
+	httpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listening on loopback")
 	}
-	peers, err := net.Listen("tcp", "127.0.0.1:0")
+	peerListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listening on loopback")
 	}
-	s, err := d.settings(name, fd, callers.Addr(), peers.Addr())
+	s, err := d.entryHostSettings(name, fd, httpListener.Addr(), peerListener.Addr())
 	if err != nil {
 		return nil, err
 	}
 	logger := log.NewWithOptions(d.opts.LogOutput, log.Options{Level: d.opts.LogLevel}).With("host", name)
-	return entryhost.New(entryhost.Options{Settings: s, HTTP: callers, Peer: peers, Logger: logger})
+	return entryhost.New(entryhost.Options{Settings: s, HTTP: httpListener, Peer: peerListener, Logger: logger})
 }
 
-func (d *Deployment) settings(name, fd string, callers, peers net.Addr) (*settings.Settings, error) {
+func (d *Deployment) entryHostSettings(name, fd string, httpAddress, peerAddress net.Addr) (*settings.Settings, error) {
 	text := fmt.Sprintf(`{
 		"host": {"name": %q, "failureDomain": %q, "region": "region-1"},
 		"listen": {"http": %q, "peer": %q},
 		"platform": {"urls": [%q]},
 		"operatorTokenHashes": [%q],
 		"timing": {"drainWaitSeconds": 0},
-	}`, name, fd, callers, peers, d.platform, auth.HashToken(OperatorToken))
+	}`, name, fd, httpAddress, peerAddress, d.platformURL, auth.HashToken(OperatorToken))
 	return settings.Parse("dev", []byte(text))
 }
 
-// EntryHostURLs returns the URLs of the entry hosts.
+// EntryHostURLs returns the base URLs of the entry hosts.
 func (d *Deployment) EntryHostURLs() []string {
-	urls := make([]string, 0, len(d.entries))
-	for _, e := range d.entries {
+	urls := make([]string, 0, len(d.entryHosts))
+	for _, e := range d.entryHosts {
 		urls = append(urls, "http://"+e.Address())
 	}
 	return urls
 }
 
-// PlatformURL returns the URL of the platform's stand-in.
-func (d *Deployment) PlatformURL() string { return d.platform }
+// PlatformURL returns the base URL of the platform's stand-in.
+func (d *Deployment) PlatformURL() string { return d.platformURL }
 
-// Close drains the entry hosts and ends the stand-ins.
+// Close drains the entry hosts and stops the stand-ins.
 func (d *Deployment) Close() error {
 	d.cancel()
 	err := d.group.Wait()
@@ -234,7 +237,8 @@
 	return err
 }
 
-// Executions returns how often upstreams executed requests under a key.
+// Executions returns how many requests with an idempotency key the upstreams
+// executed.
 func (d *Deployment) Executions(key string) int {
 	total := 0
 	for _, u := range d.upstreams {
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,6 @@
-// Package examples holds the documents of the first users, as shipped.
+// Package examples embeds the example configuration documents of two users,
+// Mwambao Levy Filings and Consorcio Recogida Norte. Package dev applies them to
+// its deployments. The package holds no other state.
 package examples
 
 import (
@@ -12,8 +14,8 @@
 //go:embed mwambao/*.hujson consorcio/*.hujson
 var files embed.FS
 
-// Documents returns the documents of both first users for one deployment. Both
-// name the same failure domains, so Mwambao's stand for them.
+// Documents returns the documents of both example users for one deployment. Both
+// define the same failure domains, so only Mwambao's definitions are included.
 func Documents() ([]config.Document, error) {
 	names, err := fs.Glob(files, "*/*.hujson")
 	if err != nil {
--- a/integration/doc.go
+++ b/integration/doc.go
@@ -1,3 +1,6 @@
-// Package integration holds tests that run entry hosts as real processes,
-// behind a fault-injecting proxy, against stand-ins in the test's own process.
+// Package integration tests entry hosts as separate processes, behind
+// fault-injecting proxies, against stand-ins for the platform, workers and
+// upstreams. The stand-ins run in the test's process, which holds their state;
+// only the end-to-end test runs them as processes too. Nothing imports the
+// package.
 package integration
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test with fixed seeds. Tests named in KNOWN-RED.txt are run last
-# and printed; they alone do not fail the run.
+# Runs every test with fixed seeds. The tests named in KNOWN-RED.txt are run last
+# and printed; only their failures are ignored.
 set -euo pipefail
 cd "$(dirname "$0")"
 
