--- a/dev/dev.go
+++ b/dev/dev.go
@@ -37,8 +37,8 @@
 	EntryHosts            int
 	Racks                 int
 	WorkersPerRack        int
-	AcceleratorsPerWorker int // of each worker
-	UpstreamsPerService   int // of each service
+	AcceleratorsPerWorker int
+	UpstreamsPerService   int
 	TaskRunTime           time.Duration
 	RequestRunTime        time.Duration
 }
@@ -57,15 +57,16 @@
 	Services       []string // services for which upstreams run
 	Size           Size
 	LogOutput      io.Writer // receives the logs of the entry hosts
-	LogLevel       log.Level
+	LogLevel       log.Level // of the entry hosts
 }
 
-// Deployment is a running set of entry hosts and stand-ins.
+// Deployment is a running set of entry hosts and stand-ins. Start returns one;
+// Close stops it.
 type Deployment struct {
 	opts        Options
-	store       *kv.Server
-	platformURL string // base URL of store
-	hosts       []kvstore.Host
+	store       *kv.Server     // the platform's stand-in
+	platformURL string         // base URL of store
+	hosts       []kvstore.Host // host list that store serves
 	entryHosts  []*entryhost.Host
 	upstreams   []*upstream.Upstream
 	servers     []*http.Server
